--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -5,7 +5,7 @@
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use sorreldeck::entry::{Ask, Chat, Entry, Input, Output, Settings, What};
-use sorreldeck::subset::{self, SIDES};
+use sorreldeck::subset::{self, SIZES};
 use sorreldeck::tree::{hash_key, parse_toml, Tree};
 use sorreldeck::wire::{Frame, Load, Usage, Welcome};
 use sorreldeck::{Incarnation, InstanceId, RequestId, Revision, Time, UpstreamId};
@@ -52,7 +52,7 @@
     let names: Vec<UpstreamId> = (0..upstreams)
         .map(|i| format!("engine-{i}").parse().expect("a name"))
         .collect();
-    let chosen = subset::choose(&me, &entries, &names, SIDES);
+    let chosen = subset::choose(&me, &entries, &names, SIZES);
     for (link, upstream) in chosen.iter().enumerate() {
         let welcome = Welcome {
             upstream: upstream.clone(),
--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -10,11 +10,11 @@
 //! ```
 //! use sorreldeck::cascade::{Policy, Prices};
 //!
-//! let mut policy = Policy::new(0.8, Prices { cheap: 1.0, dear: 10.0 });
+//! let mut policy = Policy::new(0.8, Prices { cheap: 1.0, expensive: 10.0 });
 //! for i in 0..2000 {
 //!     let confidence = f64::from(i % 10) / 10.0 + 0.05;
 //!     policy.rate_cheap(confidence, if confidence > 0.5 { 0.95 } else { 0.3 });
-//!     policy.rate_dear(0.9);
+//!     policy.rate_expensive(0.9);
 //! }
 //! assert!(policy.accepts(0.9, 0.5));
 //! assert!(!policy.accepts(0.1, 0.5));
@@ -48,7 +48,7 @@
     /// The price at this step.
     pub cheap: f64,
     /// The price of what would be asked instead.
-    pub dear: f64,
+    pub expensive: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -98,7 +98,7 @@
 
     /// Returns whether the step is to be asked at all; `draw` is a random
     /// number in `[0, 1)`.
-    pub fn asks(&self, draw: f64) -> bool {
+    pub fn should_query(&self, draw: f64) -> bool {
         !self.skip || draw < EXPLORED
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Counts an answer of the cheap version, rated or not.
-    pub fn saw(&mut self, confidence: f64) {
+    pub fn observe(&mut self, confidence: f64) {
         for band in &mut self.bands {
             band.seen *= KEEP;
         }
@@ -123,7 +123,7 @@
 
     /// Counts the rating of an answer of the cheap version.
     pub fn rate_cheap(&mut self, confidence: f64, rating: f64) {
-        self.saw(confidence);
+        self.observe(confidence);
         for band in &mut self.bands {
             band.fade();
         }
@@ -132,13 +132,13 @@
     }
 
     /// Counts the rating of an answer of the dear version.
-    pub fn rate_dear(&mut self, rating: f64) {
+    pub fn rate_expensive(&mut self, rating: f64) {
         self.dear.fade();
         self.dear.rate(rating);
     }
 
     /// Counts the rating of an answer that a caller got.
-    pub fn rate_given(&mut self, rating: f64) {
+    pub fn rate_delivered(&mut self, rating: f64) {
         let step = CORRECTION_GAIN * (self.target + MARGIN - rating);
         self.correction = (self.correction + step).clamp(-CORRECTION_MAX, CORRECTION_MAX);
     }
@@ -181,7 +181,7 @@
         }
         self.threshold = threshold;
         // Asking first pays when the dear answers it saves cost more than it.
-        self.skip = accepted * self.prices.dear < self.prices.cheap;
+        self.skip = accepted * self.prices.expensive < self.prices.cheap;
     }
 
     /// Returns the mean rating of each band and the standard error of it.
--- a/crates/core/src/entry/admit.rs
+++ b/crates/core/src/entry/admit.rs
@@ -114,7 +114,7 @@
         Ok((flight, Action::Route))
     }
 
-    pub(super) fn prepare(&self, now: Time, ask: Ask, site: Site) -> Result<Flight, Failure> {
+    pub(super) fn prepare(&self, now: Time, ask: Ask, site: Context) -> Result<Flight, Failure> {
         let (goal, pool, once) = match &ask.what {
             What::Chat(chat) => {
                 let goal = route::target(&self.tree, &site, &chat.model)?;
@@ -139,7 +139,7 @@
         Ok(flight)
     }
 
-    pub(super) fn service(&self, site: &Site, call: &Call) -> Result<(PoolId, bool), Failure> {
+    pub(super) fn service(&self, site: &Context, call: &Call) -> Result<(PoolId, bool), Failure> {
         let unknown =
             || Failure::not_run(Reason::UnknownPath, format!("there is no {}", call.path));
         let (name, pool) = self.tree.service_of_path(&call.path).ok_or_else(unknown)?;
@@ -151,7 +151,7 @@
         Ok((name.clone(), !pool.may_repeat(&call.method)))
     }
 
-    pub(super) fn open_session(&self, ask: &Ask, site: &Site) -> Result<Option<Session>, Failure> {
+    pub(super) fn open_session(&self, ask: &Ask, site: &Context) -> Result<Option<Session>, Failure> {
         let (Some(token), What::Chat(chat)) = (&ask.session, &ask.what) else {
             return Ok(None);
         };
--- a/crates/core/src/entry/answer.rs
+++ b/crates/core/src/entry/answer.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::header;
 use crate::notice::Notice;
-use crate::pick::Place;
+use crate::pick::Placement;
 use crate::release::LIFE;
 use crate::wire::{Confidence, Header, Usage, Welcome};
 
@@ -25,7 +25,7 @@
                 load,
             } => {
                 self.peers.report(link, load, now);
-                self.peers.answers(link, now);
+                self.peers.answered(link, now);
                 self.note_rest(link, header::rest_in(status, &headers), now);
                 self.head(now, run, status, headers, out);
             }
@@ -56,7 +56,7 @@
                 self.failed(now, run, failure, out);
             }
             Frame::Load(load) => self.peers.report(link, load, now),
-            Frame::Goodbye => self.peers.goodbye(link),
+            Frame::Goodbye => self.peers.mark_leaving(link),
             Frame::Revision(revision) => self.compare(link, revision, out),
             Frame::Missing(revision) => out.push(Output::Ahead(link, revision)),
             Frame::Billed(runs) => self.held.billed(&runs),
@@ -94,11 +94,11 @@
     fn welcome(&mut self, now: Time, link: Link, welcome: Welcome, out: &mut Outputs) {
         self.peers
             .join(link, welcome.upstream, &welcome.pool, welcome.load);
-        let place = Place {
+        let place = Placement {
             hall: Some(welcome.hall),
-            ..Place::default()
+            ..Placement::default()
         };
-        self.peers.settle(link, place);
+        self.peers.set_placement(link, place);
         // Its sidecar knows what still holds, and says it with the next refusal.
         self.peers.forget_notices(link);
         self.peers.joined(link, now);
@@ -141,7 +141,7 @@
             rest,
             ..Notice::default()
         };
-        self.peers.hear(link, notice, Time::default(), now);
+        self.peers.apply_notice(link, notice, Time::default(), now);
     }
 
     /// Notes that the run under way is no longer at its upstream.
@@ -192,7 +192,7 @@
         headers.push(Header::new(header::VERDICT, Verdict::Ran));
         if let Some(choice) = &flight.choice {
             headers.push(Header::new(header::VERSION, &choice.version));
-            if let Why::Moved(from) = &choice.why {
+            if let Cause::Moved(from) = &choice.cause {
                 headers.push(Header::new(header::MOVED, from));
             }
         }
@@ -306,7 +306,7 @@
         let policy = self.policy(&name, step, class);
         let accepted = next.is_none() || policy.is_some_and(|p| p.accepts(confidence, draw));
         if let Some(policy) = self.policy_mut(&name, step, class) {
-            policy.saw(confidence);
+            policy.observe(confidence);
         }
         self.sample(&flight, finish.confidence, accepted, out);
         if !accepted {
--- a/crates/core/src/entry/decision.rs
+++ b/crates/core/src/entry/decision.rs
@@ -10,7 +10,7 @@
 use crate::failure::Failure;
 use crate::id::*;
 use crate::quarantine::Fingerprint;
-use crate::route::Why;
+use crate::route::Cause;
 use crate::tree::Class;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
@@ -27,7 +27,7 @@
     /// The version, or `None` for a plain service.
     pub version: Option<VersionId>,
     /// Why the version was chosen.
-    pub why: Option<Why>,
+    pub why: Option<Cause>,
     /// The upstream.
     pub upstream: UpstreamId,
     /// What was known of the upstream when it was chosen.
--- a/crates/core/src/entry/dispatch.rs
+++ b/crates/core/src/entry/dispatch.rs
@@ -53,9 +53,9 @@
         let steps = tree.cascade(name.as_str()).map_or(&[][..], |c| &c.steps);
         if let Some(session) = &flight.session {
             if usable(&session.version) {
-                let why = Why::Session;
+                let why = Cause::Session;
                 let version = session.version.clone();
-                return Ok((Choice { version, why }, steps.len()));
+                return Ok((Choice { version, cause: why }, steps.len()));
             }
         }
         let left: Vec<usize> = (step..steps.len())
@@ -65,7 +65,7 @@
         let class = flight.site.class;
         let asked = left.iter().copied().find(|i| {
             let last = left.last() == Some(i);
-            last || self.policy(name, *i, class).is_none_or(|p| p.asks(draw))
+            last || self.policy(name, *i, class).is_none_or(|p| p.should_query(draw))
         });
         let index = asked.ok_or_else(|| {
             let message = format!("no version of {name} that the account may use takes new work");
@@ -73,10 +73,10 @@
         })?;
         let version = steps[index].version.clone();
         let why = match &flight.session {
-            Some(session) => Why::Moved(session.version.clone()),
-            None => Why::Cascade(name.clone()),
+            Some(session) => Cause::Moved(session.version.clone()),
+            None => Cause::Cascade(name.clone()),
         };
-        Ok((Choice { version, why }, index))
+        Ok((Choice { version, cause: why }, index))
     }
 
     /// Chooses version and upstream and sends the request there.
@@ -106,34 +106,34 @@
     ) -> Result<(), Failure> {
         self.check_dispatch(flight)?;
         if flight.is_first() {
-            self.budget(&flight.pool).earn(now);
+            self.budget(&flight.pool).deposit(now);
         }
         let apart = self.apart(now, flight);
-        let wish = Wish {
+        let wish = Criteria {
             pool: &flight.pool,
             tokens: flight.prompt_tokens(),
             urgent: flight.site.class == Class::Priority,
             // Upstreams behind sidecars name no rates.
             rank: 0,
-            chain: flight.chain(),
-            shared: None,
-            last: flight.session.as_ref().and_then(|s| s.upstream.as_ref()),
+            prefixes: flight.chain(),
+            shared_prefix: None,
+            last_upstream: flight.session.as_ref().and_then(|s| s.upstream.as_ref()),
             tried: &apart,
-            near: Near {
+            affinity: Affinity {
                 regions: flight.regions(),
-                ..Near::default()
+                ..Affinity::default()
             },
-            rate: None,
+            prefill_rate: None,
             scope: Scope::Hall,
         };
         let draw = self.rng.random::<f64>();
         let link = self
             .peers
-            .choose_apart(&wish, &flight.tried, self.settings.policy, now, draw)
+            .choose_distinct(&wish, &flight.tried, self.settings.policy, now, draw)
             .map(|chosen| chosen.link)
             .ok_or_else(|| {
-                let opens = self.peers.opens_in(&flight.pool, now);
-                let wait = opens.or_else(|| self.peers.least_wait(&flight.pool));
+                let opens = self.peers.available_in(&flight.pool, now);
+                let wait = opens.or_else(|| self.peers.min_wait(&flight.pool));
                 let wait = wait.unwrap_or(RETRY_AFTER).max(RETRY_AFTER);
                 routed::none_left(&flight.pool).retry_after(wait)
             })?;
@@ -197,7 +197,7 @@
         self.keep(Promise::Withdrawn, serving)?;
         if let Some(session) = &flight.session {
             let kept = session.version == *version;
-            let moved = choice.why == Why::Moved(session.version.clone());
+            let moved = choice.cause == Cause::Moved(session.version.clone());
             let gone = !flight.site.node.allows_version(&session.version)
                 || !route::takes_work(&self.tree, &session.version)
                 || self.watch.suspects(&session.version);
@@ -236,7 +236,7 @@
     /// a place falls free after some hundred.
     pub(super) fn is_patient(&self, flight: &Flight) -> bool {
         let urgent = flight.site.class == Class::Priority;
-        let others = self.peers.in_pool(&flight.pool) > flight.tried.len();
+        let others = self.peers.available_count(&flight.pool) > flight.tried.len();
         !urgent || !others || flight.run.attempt + 1 >= MAX_TRIES
     }
 
@@ -268,7 +268,7 @@
         let try_ = Try {
             step: flight.run.step,
             version: flight.version().cloned(),
-            why: flight.choice.as_ref().map(|c| c.why.clone()),
+            why: flight.choice.as_ref().map(|c| c.cause.clone()),
             upstream,
             known: peer.map(|peer| peer.known(now)),
             due: None,
--- a/crates/core/src/entry/flight.rs
+++ b/crates/core/src/entry/flight.rs
@@ -6,7 +6,7 @@
 use crate::id::*;
 use crate::pick::{Link, Prefix};
 use crate::quarantine::Fingerprint;
-use crate::route::{Choice, Site, Target, Why};
+use crate::route::{Choice, Context, Target, Cause};
 use crate::session::Session;
 use crate::unit::Time;
 use crate::verdict::Verdict;
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(super) struct Flight {
     pub ask: Ask,
-    pub site: Site,
+    pub site: Context,
     /// By which the request is known when it comes again.
     pub fingerprint: Fingerprint,
     pub session: Option<Session>,
@@ -80,7 +80,7 @@
 
 impl Flight {
     /// Creates the flight of a request that has gone nowhere yet.
-    pub fn new(ask: Ask, site: Site, began: Time, deadline: Time) -> Flight {
+    pub fn new(ask: Ask, site: Context, began: Time, deadline: Time) -> Flight {
         Flight {
             run: Run::first(ask.request),
             fingerprint: ask.what.fingerprint(&site.account),
@@ -182,8 +182,8 @@
 
     fn kept_open(&self) -> bool {
         !matches!(
-            self.choice.as_ref().map(|c| &c.why),
-            Some(Why::Session | Why::Moved(_))
+            self.choice.as_ref().map(|c| &c.cause),
+            Some(Cause::Session | Cause::Moved(_))
         )
     }
 
--- a/crates/core/src/entry/guard.rs
+++ b/crates/core/src/entry/guard.rs
@@ -63,7 +63,7 @@
         let Some(peer) = flight.tried.last().and_then(|link| self.peers.get(*link)) else {
             return;
         };
-        let number = peer.number();
+        let number = peer.start_id();
         let sighting = Sighting {
             fingerprint: flight.fingerprint,
             pool: &flight.pool,
@@ -76,13 +76,13 @@
             ),
         };
         self.quarantine.lost(&sighting, now);
-        self.peers.doubt_number(number);
+        self.peers.suspect_restart_of_id(number);
     }
 
     /// Takes in what another entry tells of requests under which upstreams crashed.
     pub(super) fn take_word(&mut self, now: Time, word: Word) {
         if let Word::Lost { upstream, .. } = &word {
-            self.peers.doubt_number(*upstream);
+            self.peers.suspect_restart_of_id(*upstream);
         }
         let (flights, peers) = (&self.flights, &self.peers);
         self.quarantine.told(word, now, |fingerprint| {
@@ -153,7 +153,7 @@
     let links = flights.values().filter(of).filter_map(|f| f.at);
     let there: BTreeSet<Link> = links.filter(|link| Some(link) != crashed).collect();
     let pool = flights.values().find(of).map(|f| &f.pool);
-    let all = pool.map_or(0, |pool| peers.in_pool(pool));
+    let all = pool.map_or(0, |pool| peers.available_count(pool));
     there.len().saturating_sub(1) as f64 / all.saturating_sub(1).max(1) as f64
 }
 
--- a/crates/core/src/entry/learn.rs
+++ b/crates/core/src/entry/learn.rs
@@ -70,13 +70,13 @@
         }
         for earlier in 0..step {
             if let Some(policy) = self.policy_mut(&name, earlier, sample.class) {
-                policy.rate_dear(score);
+                policy.rate_expensive(score);
             }
         }
         if sample.given {
             for earlier in 0..=step {
                 if let Some(policy) = self.policy_mut(&name, earlier, sample.class) {
-                    policy.rate_given(score);
+                    policy.rate_delivered(score);
                 }
             }
         }
@@ -102,7 +102,7 @@
         let target = cascade.target.fraction();
         let cheap = price(&self.tree, &cascade.steps.get(step)?.version);
         let dear = price(&self.tree, &cascade.steps.get(step + 1)?.version);
-        let prices = Prices { cheap, dear };
+        let prices = Prices { cheap, expensive: dear };
         let policy = self
             .cascades
             .entry((name.clone(), step, class))
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -35,20 +35,20 @@
 use crate::halls;
 use crate::id::*;
 use crate::limit::Limits;
-use crate::merit::Merits;
+use crate::failover::Outcomes;
 use crate::notice;
-use crate::pick::{Link, Near, Peers, Policy, Wish};
+use crate::pick::{Link, Affinity, Peers, Policy, Criteria};
 use crate::promise::{Promise, Promises};
 use crate::quarantine::{self, Fingerprint, Quarantine};
-use crate::reading::Readings;
+use crate::latency::Estimator;
 use crate::release::{self, Releases};
 use crate::retry;
 use crate::retry::{Allowance, Budget};
 use crate::reuse::{Reuse, Scope};
-use crate::route::{self, Caller, Choice, Site, Target, Why};
+use crate::route::{self, Caller, Choice, Context, Target, Cause};
 use crate::session::{Keyring, Session};
 use crate::store::{Batch, Held};
-use crate::strain::Strains;
+use crate::saturation::Tracker;
 use crate::tree::{Action, Class, Kind, Tree};
 use crate::unit::*;
 use crate::verdict::Verdict;
@@ -110,7 +110,7 @@
             judge: Judge::Sequential,
             even_limits: false,
             hall: None,
-            retries: retry::ALLOWANCE,
+            retries: retry::DEFAULT_ALLOWANCE,
             exposure: release::EXPOSURE,
             accepted: routed::ACCEPTED,
             counts: false,
@@ -280,9 +280,9 @@
     watch: Watch,
     cascades: HashMap<(CascadeId, usize, Class), cascade::Policy>,
     releases: Releases,
-    strains: Strains,
-    merits: Merits,
-    readings: Readings,
+    strains: Tracker,
+    merits: Outcomes,
+    readings: Estimator,
     reuse: Reuse,
     quarantine: Quarantine,
     /// How many entries take requests, as far as this one knows.
@@ -317,9 +317,9 @@
             watch,
             cascades: HashMap::new(),
             releases: Releases::new(settings.exposure),
-            strains: Strains::default(),
-            merits: Merits::default(),
-            readings: Readings::default(),
+            strains: Tracker::default(),
+            merits: Outcomes::default(),
+            readings: Estimator::default(),
             reuse: Reuse::default(),
             quarantine: Quarantine::default(),
             entries: 1,
@@ -352,15 +352,15 @@
                     log::warn!("event=release-bad pool={pool} by=others");
                 }
             }
-            Input::Reads(number, reading) => self.peers.told(number, reading, now),
+            Input::Reads(number, reading) => self.peers.add_remote_prefill(number, reading, now),
             Input::Stays(stay) => self.releases.stayed(stay, now),
             Input::Word(word) => self.take_word(now, word),
-            Input::Notice(word) => self.peers.heard_of(word, now),
+            Input::Notice(word) => self.peers.apply_remote_notice(word, now),
             Input::Held(fingerprint, hold) => self.quarantine.recorded(fingerprint, hold, now),
             Input::Forgotten(fingerprint) => self.quarantine.forgotten(fingerprint),
             Input::Entries(entries) => self.set_entries(&entries, now),
             Input::Evacuate(halls) => self.evacuate(now, halls),
-            Input::Cold(link, left) => self.peers.cool(link, left, now),
+            Input::Cold(link, left) => self.peers.mark_cold(link, left, now),
             Input::Claimed(request, claim) => self.claimed(now, request, claim, &mut out),
             Input::Rated(rating) => self.rated(rating, &mut out),
             Input::Written(batch) => drop(self.held.written(batch)),
@@ -371,7 +371,7 @@
             Input::Leave => self.leaving = true,
         }
         self.tell_of_quarantine(now, &mut out);
-        out.extend(self.peers.words().into_iter().map(Output::Notice));
+        out.extend(self.peers.take_updates().into_iter().map(Output::Notice));
         out.extend(self.releases.stays(now).into_iter().map(Output::Stays));
         out
     }
@@ -444,12 +444,12 @@
     /// Takes a repeat from the budget of a pool; returns whether there was one.
     fn spend(&mut self, now: Time, pool: &PoolId) -> bool {
         let entries = self.entries;
-        self.budget(pool).spend(now, entries)
+        self.budget(pool).withdraw(now, entries)
     }
 
     fn set_entries(&mut self, entries: &[InstanceId], now: Time) {
         let own = &self.settings.instance;
-        self.peers.shared_by(own, entries.iter(), now);
+        self.peers.set_entries(own, entries.iter(), now);
         let n = 1 + entries.iter().filter(|name| *name != own).count();
         self.entries = n;
         self.limits.set_entries(n);
@@ -475,22 +475,22 @@
     }
 
     fn evacuate(&mut self, now: Time, halls: BTreeSet<Hall>) {
-        let change = self.peers.order(halls, now);
+        let change = self.peers.evacuate(halls, now);
         self.tell_of_halls(&change);
     }
 
     /// Writes what changed about data halls, and what that leaves nothing of.
     fn tell_of_halls(&self, change: &halls::Change) {
-        for hall in &change.emptied {
+        for hall in &change.evacuated {
             log::info!("event=hall hall={hall} state=evacuated");
         }
         for hall in &change.restored {
             log::info!("event=hall hall={hall} state=restored");
         }
-        if change.emptied.is_empty() {
+        if change.evacuated.is_empty() {
             return;
         }
-        for pool in self.peers.without_work() {
+        for pool in self.peers.pools_without_upstream() {
             log::warn!("event=pool-without-work pool={pool} effect=refused");
         }
     }
@@ -529,26 +529,26 @@
     /// # Errors
     ///
     /// Fails with the failure that the caller would get.
-    pub fn explain(&mut self, now: Time, site: Site, ask: Ask) -> Result<Decision, Failure> {
+    pub fn explain(&mut self, now: Time, site: Context, ask: Ask) -> Result<Decision, Failure> {
         let asked = ask.what.name();
         let request = ask.request;
         let mut flight = self.prepare(now, ask, site)?;
         self.choose(&mut flight)?;
-        let wish = Wish {
+        let wish = Criteria {
             pool: &flight.pool,
             tokens: flight.prompt_tokens(),
             urgent: flight.site.class == Class::Priority,
             // Upstreams behind sidecars name no rates.
             rank: 0,
-            chain: flight.chain(),
-            shared: None,
-            last: None,
+            prefixes: flight.chain(),
+            shared_prefix: None,
+            last_upstream: None,
             tried: &[],
-            near: Near {
+            affinity: Affinity {
                 regions: flight.regions(),
-                ..Near::default()
+                ..Affinity::default()
             },
-            rate: None,
+            prefill_rate: None,
             scope: Scope::Hall,
         };
         let link = self.peers.pick(&wish, self.settings.policy, now, 0.0);
--- a/crates/core/src/entry/routed/learn.rs
+++ b/crates/core/src/entry/routed/learn.rs
@@ -27,7 +27,7 @@
             return;
         };
         if std::mem::take(&mut terms.outlook.reads) {
-            self.peers.has_read(link, terms.outlook.reading);
+            self.peers.prefill_ended(link, terms.outlook.reading);
         }
     }
 
@@ -48,7 +48,7 @@
         let Outlook { fresh, behind, .. } = terms.outlook;
         let took = now.since(terms.sent);
         self.readings
-            .note(&terms.subject(pool), fresh, behind, took);
+            .record(&terms.subject(pool), fresh, behind, took);
     }
 
     /// Tells the releases what the beginning of an answer shows.
@@ -134,7 +134,7 @@
             return;
         };
         if std::mem::take(&mut terms.erred) {
-            self.merits.note(flight, &terms.name, good);
+            self.merits.record(flight, &terms.name, good);
         }
     }
 
@@ -146,7 +146,7 @@
         if let Some(terms) = flight.terms.as_ref().filter(|t| t.route.stream) {
             let waited = now.since(terms.sent);
             self.strains
-                .note(&flight.pool, waited, terms.route.objective);
+                .record(&flight.pool, waited, terms.route.objective);
         }
     }
 }
--- a/crates/core/src/entry/routed/mod.rs
+++ b/crates/core/src/entry/routed/mod.rs
@@ -13,8 +13,8 @@
 use super::flight::Flight;
 use super::*;
 use crate::notice::Notice;
-use crate::pick::{Place, Prefix};
-use crate::reading::Subject;
+use crate::pick::{Placement, Prefix};
+use crate::latency::Workload;
 use crate::tree::Route;
 use crate::wire::{Confidence, Header, Load};
 
@@ -107,10 +107,10 @@
 
 impl Terms {
     /// Returns what the time to the beginning of an answer is learned by.
-    pub fn subject(&self, pool: &PoolId) -> Subject {
+    pub fn subject(&self, pool: &PoolId) -> Workload {
         match self.route.sizes.get(self.size) {
-            Some(model) => Subject::Model(pool.clone(), model.clone()),
-            None => Subject::Route(self.name.clone()),
+            Some(model) => Workload::Model(pool.clone(), model.clone()),
+            None => Workload::Route(self.name.clone()),
         }
     }
 }
@@ -123,7 +123,7 @@
     /// The pool.
     pub pool: PoolId,
     /// Where it is and what it runs.
-    pub place: Place,
+    pub place: Placement,
     /// The requests that it runs at a time, and what else is known of its load.
     pub load: Load,
 }
@@ -169,13 +169,13 @@
     pub(in crate::entry) fn join(&mut self, link: Link, member: Member, now: Time) {
         self.peers
             .join(link, member.upstream, &member.pool, member.load);
-        self.peers.settle(link, member.place);
+        self.peers.set_placement(link, member.place);
         self.peers.report(link, member.load, now);
-        self.peers.heard(link, now);
+        self.peers.heard_from(link, now);
         self.peers.joined(link, now);
         // Once for a pool: of 3,000 upstreams that join together each would look at all others.
         if !self.releases.is_settled(&member.pool) {
-            let present = self.peers.present(&member.pool);
+            let present = self.peers.present_releases(&member.pool);
             self.releases.settle(&member.pool, &present);
         }
     }
@@ -185,7 +185,7 @@
         &self,
         routed: &Routed,
         key: Option<&str>,
-    ) -> Result<(Site, Terms), Failure> {
+    ) -> Result<(Context, Terms), Failure> {
         if self.tree.revision() == Revision(0) {
             let failure = Failure::not_run(Reason::NotReady, "no configuration is known yet");
             return Err(failure.retry_after(COME_BACK));
@@ -195,7 +195,7 @@
             let message = format!("no route for {}{}", routed.host, routed.call.path);
             Failure::not_run(Reason::UnknownPath, message)
         })?;
-        let site = route::guest(&self.tree, route, key)?;
+        let site = route::identify_on_route(&self.tree, route, key)?;
         if !route.sizes.is_empty() && !routed.any_model {
             let message = "this route chooses the model";
             return Err(Failure::not_run(Reason::ModelNamed, message));
@@ -273,7 +273,7 @@
         Failure {
             retry_after: self
                 .peers
-                .opens_in(pool, now)
+                .available_in(pool, now)
                 .map(|left| left.max(COME_BACK)),
             ..none_left(pool)
         }
--- a/crates/core/src/entry/routed/overdue.rs
+++ b/crates/core/src/entry/routed/overdue.rs
@@ -15,7 +15,7 @@
     /// Ends what has taken too long and moves what waits at a silent upstream.
     pub(in crate::entry) fn tick_routed(&mut self, now: Time, out: &mut Outputs) {
         if now.since(self.ticked) > STOOD_STILL {
-            self.peers.heard_all(now);
+            self.peers.heard_from_all(now);
         }
         self.ticked = now;
         self.learn_all_waiting(now);
@@ -63,13 +63,13 @@
         if !may_move || terms.runs >= terms.route.tries {
             return None;
         }
-        let heard = self.peers.get(link).map_or(terms.sent, |p| p.heard);
+        let heard = self.peers.get(link).map_or(terms.sent, |p| p.last_heard);
         let since = now.since(heard.max(terms.sent));
         let limit = match flight.headed {
             true => self.patience_midway(flight, terms),
             false => {
                 let subject = terms.subject(&flight.pool);
-                self.readings.patience(&subject, terms.outlook.first())
+                self.readings.stall_timeout(&subject, terms.outlook.first())
             }
         };
         (since > limit).then_some(link)
@@ -81,7 +81,7 @@
     /// an upstream that is only busy is the sooner one, until the pause is too long.
     fn patience_midway(&self, flight: &Flight, terms: &Terms) -> Span {
         let subject = terms.subject(&flight.pool);
-        let anew = self.readings.expect(&subject, terms.outlook.fresh);
+        let anew = self.readings.estimate(&subject, terms.outlook.fresh);
         match SILENT_MIDWAY + anew <= terms.route.pause {
             true => SILENT_MIDWAY,
             false => terms.route.pause.max(SILENT_MIDWAY),
@@ -108,7 +108,7 @@
         self.learn_waiting(now, request);
         self.learn_reading(now, request);
         self.learn_stalled(now, request);
-        self.peers.struck(link, now);
+        self.peers.failed(link, now);
         self.drop_run(link, run, out);
         self.history.outcome(request, failure.to_string());
         let Some(flight) = self.flights.get_mut(&request) else {
--- a/crates/core/src/entry/routed/reply.rs
+++ b/crates/core/src/entry/routed/reply.rs
@@ -28,10 +28,10 @@
         reply: Reply,
         out: &mut Outputs,
     ) {
-        self.peers.heard(link, now);
+        self.peers.heard_from(link, now);
         match reply {
             Reply::Head(head) => {
-                self.peers.answers(link, now);
+                self.peers.answered(link, now);
                 let asked = self.asked_at(run, head.status);
                 self.hear(link, head.notice, head.load, asked, now);
                 self.routed_head(now, link, run, head, out);
@@ -56,7 +56,7 @@
         if let Some(load) = load {
             self.report_direct(link, load, now);
         }
-        self.peers.hear(link, notice, asked, now);
+        self.peers.apply_notice(link, notice, asked, now);
     }
 
     /// Returns when a run was sent to an upstream that answers it, or the earliest time where what
@@ -89,7 +89,7 @@
             let message = format!("the stream could not go on: {status}");
             let failure = Failure::new(Reason::UpstreamFailed, Verdict::Ran, message);
             self.learn_release(now, run.request, false);
-            self.peers.struck(link, now);
+            self.peers.failed(link, now);
             self.drop_run(link, run, out);
             return self.routed_failed(now, run.request, failure, out);
         }
@@ -108,7 +108,7 @@
                 self.history
                     .outcome(run.request, format!("answered {status} after {took}ms"));
                 if status >= 500 {
-                    self.peers.erred(link, now);
+                    self.peers.returned_error(link, now);
                 }
                 self.give_plain_head(now, run.request, out);
             }
@@ -145,9 +145,9 @@
         match flight.and_then(|f| f.terms.as_mut()) {
             Some(terms) if !terms.route.stream => {
                 terms.erred = true;
-                self.peers.erred(link, now);
+                self.peers.returned_error(link, now);
             }
-            _ => self.peers.struck(link, now),
+            _ => self.peers.failed(link, now),
         }
     }
 
@@ -172,13 +172,13 @@
             && more
             && (terms.route.stream
                 || self.peers.is_failing(link)
-                || self.merits.asks_again(&flight.pool, &terms.name));
+                || self.merits.should_retry(&flight.pool, &terms.name));
         if elsewhere {
             let message = format!("the upstream answered {status}");
             let failure = Failure::new(Reason::UpstreamFailed, Verdict::Ran, message);
             return Judgement::Elsewhere(failure);
         }
-        let wanted = self.accepted(&terms.route) * self.strains.spare(&flight.pool);
+        let wanted = self.accepted(&terms.route) * self.strains.headroom(&flight.pool);
         let wanted = wanted * self.larger_earns(now, flight, terms);
         let wanted = Confidence(wanted);
         let unsure = confidence.is_some_and(|c| c < wanted);
@@ -200,7 +200,7 @@
     fn may_repeat(&mut self, now: Time, request: RequestId) -> bool {
         let pool = self.flights.get(&request).map(|f| f.pool.clone());
         let entries = self.entries;
-        pool.is_some_and(|pool| self.budget(&pool).has_one(now, entries))
+        pool.is_some_and(|pool| self.budget(&pool).can_withdraw(now, entries))
     }
 
     /// Returns the confidence from which a smaller model's answer is given.
@@ -216,12 +216,12 @@
         let Some(model) = terms.route.sizes.last() else {
             return 1.0;
         };
-        let subject = Subject::Model(flight.pool.clone(), model.clone());
+        let subject = Workload::Model(flight.pool.clone(), model.clone());
         // The shared beginning is mostly read already.
         let shared = flight.shared().map_or(0, |p| p.tokens);
         let own = flight.prompt_tokens().saturating_sub(shared);
         let waited = now.since(flight.began);
-        let then = waited + self.readings.expect(&subject, own);
+        let then = waited + self.readings.estimate(&subject, own);
         let objective = terms.route.objective;
         match waited <= objective && then > objective {
             true => LATE_EARNS,
@@ -320,10 +320,10 @@
         // One that has said for how long it wants none is not passed over for longer.
         let has_said = failure.reason == Reason::Overloaded && self.peers.is_resting(link, now);
         if failure.reason != Reason::Cancelled && !has_said {
-            self.peers.struck(link, now);
+            self.peers.failed(link, now);
         }
         if failure.reason == Reason::LinkLost {
-            self.peers.doubt(link);
+            self.peers.suspect_restart(link);
         }
         if failure.reason == Reason::UpstreamLost {
             self.note_lost(now, run.request);
--- a/crates/core/src/entry/routed/send.rs
+++ b/crates/core/src/entry/routed/send.rs
@@ -1,7 +1,7 @@
 //! How a routed request is sent to an upstream.
 
 use super::*;
-use crate::pick::{self, Chosen, Near, Peer};
+use crate::pick::{self, Chosen, Affinity, Peer};
 use crate::release::{Few, Stay, LIFE};
 use crate::wire::Order;
 
@@ -21,7 +21,7 @@
             let draw = self.rng.random::<f64>();
             let pool = terms.route.pool(draw).cloned();
             flight.pool = pool.ok_or_else(|| none_left(&flight.pool))?;
-            self.budget(&flight.pool).earn(now);
+            self.budget(&flight.pool).deposit(now);
         }
         let draw = self.rng.random::<f64>();
         let present = self.peers.releases(&flight.pool);
@@ -33,7 +33,7 @@
             .and_then(|release| self.releases.few(&flight.pool, release, now, &present));
         flight.choice = release.map(|version| Choice {
             version,
-            why: Why::Split,
+            cause: Cause::Split,
         });
         self.note_stay(now, flight, flight.deadline.since(now) + LIFE);
         Ok(few)
@@ -70,34 +70,34 @@
         let rate = subject.as_ref().map(|subject| self.readings.rate(subject));
         let scope = self.scope(now, flight, rate);
         let apart = self.apart(now, flight);
-        let wish = Wish {
+        let wish = Criteria {
             pool: &flight.pool,
             tokens: flight.prompt_tokens(),
             urgent: false,
             rank: flight.rank(),
-            chain: flight.chain(),
-            shared: flight.shared(),
-            last: None,
+            prefixes: flight.chain(),
+            shared_prefix: flight.shared(),
+            last_upstream: None,
             tried: &apart,
-            near: Near {
+            affinity: Affinity {
                 hall: self.settings.hall.as_ref(),
                 release: flight.version(),
-                few,
+                subset: few,
                 regions: flight.regions(),
             },
-            rate,
+            prefill_rate: rate,
             scope,
         };
         let draw = self.rng.random::<f64>();
         let chosen = self
             .peers
-            .choose_apart(&wish, &flight.tried, self.settings.policy, now, draw)
+            .choose_distinct(&wish, &flight.tried, self.settings.policy, now, draw)
             .ok_or_else(|| self.none_takes(&flight.pool, now))?;
         self.begin_run(now, flight, chosen.link)?;
         let outlook = self.outlook(subject.as_ref(), &chosen);
-        self.peers.reads(chosen.link, outlook.reading);
+        self.peers.prefill_started(chosen.link, outlook.reading);
         if outlook.reading >= TELL_FROM {
-            let number = self.peers.get(chosen.link).map(Peer::number);
+            let number = self.peers.get(chosen.link).map(Peer::start_id);
             out.extend(number.map(|number| Output::Reads(number, outlook.reading)));
         }
         self.history.note(flight.ask.request, |decision| {
@@ -125,25 +125,25 @@
         };
         let kind = (terms.name.clone(), terms.size);
         if flight.run.attempt == 0 {
-            self.reuse.note(&kind, shared.hash, now);
+            self.reuse.record(&kind, shared.hash, now);
         }
         let reading = f64::from(shared.tokens) / rate.per_second().max(1.0);
-        let halls = self.peers.halls(&flight.pool);
+        let halls = self.peers.hall_count(&flight.pool);
         let reading = Span::from_secs_f64(reading);
-        let weight = self.strains.weight(&flight.pool);
+        let weight = self.strains.latency_weight(&flight.pool);
         self.reuse
             .scope(&kind, reading, self.entries, halls, weight)
     }
 
     /// Returns what a run is expected to take at the upstream chosen for it.
-    fn outlook(&self, subject: Option<&Subject>, chosen: &Chosen) -> Outlook {
+    fn outlook(&self, subject: Option<&Workload>, chosen: &Chosen) -> Outlook {
         let Some(subject) = subject else {
             return Outlook::default();
         };
         Outlook {
-            fresh: chosen.fresh,
-            reading: self.readings.expect(subject, chosen.fresh),
-            behind: pick::behind(chosen.unread),
+            fresh: chosen.uncached_tokens,
+            reading: self.readings.estimate(subject, chosen.uncached_tokens),
+            behind: pick::prefill_wait(chosen.pending_prefill),
             reads: true,
         }
     }
--- a/crates/core/src/entry/watch.rs
+++ b/crates/core/src/entry/watch.rs
@@ -12,7 +12,7 @@
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
-use crate::evidence::{Bar, Detector, Evidence};
+use crate::evidence::{Thresholds, Detector, Evidence};
 use crate::id::{Incarnation, RolloutId, VersionId};
 use crate::tree::{Intent, Phase, Progress, Rollout, Tree};
 use std::collections::BTreeMap;
@@ -90,10 +90,10 @@
 }
 
 /// Returns what tells a good version of a roll-out from a bad one.
-pub fn bar(rollout: &Rollout) -> Bar {
-    Bar {
+pub fn bar(rollout: &Rollout) -> Thresholds {
+    Thresholds {
         floor: rollout.floor.fraction(),
-        bad: rollout.bad.fraction(),
+        bad_mean: rollout.bad.fraction(),
         max_error: rollout.max_error.fraction(),
         false_alarm: rollout.false_alarm.fraction(),
     }
@@ -164,7 +164,7 @@
         &mut self,
         tree: &Tree,
         version: &VersionId,
-        count: impl FnOnce(&mut Evidence, &Bar),
+        count: impl FnOnce(&mut Evidence, &Thresholds),
     ) -> bool {
         let Some((_, rollout)) = rollout_of(tree, version) else {
             return false;
@@ -303,7 +303,7 @@
         pooled.by_entry.insert(entry, evidence);
         let mut sum = Evidence::default();
         for part in pooled.by_entry.values() {
-            sum.add(part);
+            sum.merge(part);
         }
         let bad = pooled.detector.update(&sum, &bar);
         (sum, bad)
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -12,9 +12,9 @@
 //! whenever the capital falls below one, with a higher bar.
 //!
 //! ```
-//! use sorreldeck::evidence::{Bar, Detector, Evidence};
+//! use sorreldeck::evidence::{Thresholds, Detector, Evidence};
 //!
-//! let bar = Bar { floor: 0.8, bad: 0.5, max_error: 0.05, false_alarm: 0.01 };
+//! let bar = Thresholds { floor: 0.8, bad_mean: 0.5, max_error: 0.05, false_alarm: 0.01 };
 //! let mut evidence = Evidence::default();
 //! let mut detector = Detector::default();
 //! for _ in 0..40 {
@@ -46,11 +46,11 @@
 
 /// What tells a good version from a bad one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bar {
+pub struct Thresholds {
     /// The least mean rating of a good version.
     pub floor: f64,
     /// The mean rating that must be caught.
-    pub bad: f64,
+    pub bad_mean: f64,
     /// The largest share of failed answers of a good version.
     pub max_error: f64,
     /// The chance that a good version is held back.
@@ -74,7 +74,7 @@
 
 impl Evidence {
     /// Counts an answer, good or failed.
-    pub fn answer(&mut self, failed: bool, bar: &Bar) {
+    pub fn answer(&mut self, failed: bool, bar: &Thresholds) {
         self.answers += 1;
         self.failures += u64::from(failed);
         let x = if failed { 1.0 } else { 0.0 };
@@ -83,16 +83,16 @@
     }
 
     /// Counts a rating between 0 and 1.
-    pub fn rate(&mut self, rating: f64, bar: &Bar) {
+    pub fn rate(&mut self, rating: f64, bar: &Thresholds) {
         let rating = rating.clamp(0.0, 1.0);
         self.ratings += 1;
         self.sum += rating;
-        let best = best_stake(bar.floor, bar.bad);
+        let best = best_stake(bar.floor, bar.bad_mean);
         bet(&mut self.quality, bar.floor - rating, 1.0 - bar.floor, best);
     }
 
     /// Adds what another process found.
-    pub fn add(&mut self, other: &Evidence) {
+    pub fn merge(&mut self, other: &Evidence) {
         self.answers += other.answers;
         self.failures += other.failures;
         self.ratings += other.ratings;
@@ -150,7 +150,7 @@
 impl Detector {
     /// Looks at the evidence as it now stands and returns whether the version
     /// is bad.
-    pub fn update(&mut self, evidence: &Evidence, bar: &Bar) -> bool {
+    pub fn update(&mut self, evidence: &Evidence, bar: &Thresholds) -> bool {
         let grown = evidence.ratings != self.seen.ratings || evidence.answers != self.seen.answers;
         if !grown {
             return self.bad;
--- a/crates/core/src/merit.rs
+++ b/crates/core/src/failover.rs
@@ -6,15 +6,15 @@
 //! well, and asks again as long as that pays; where it does not, it tries now and then.
 //!
 //! ```
-//! use sorreldeck::merit::Merits;
+//! use sorreldeck::failover::Outcomes;
 //!
-//! let mut merits = Merits::default();
+//! let mut merits = Outcomes::default();
 //! let (pool, route) = ("roster".parse()?, "look".parse()?);
-//! assert!(merits.asks_again(&pool, &route));
+//! assert!(merits.should_retry(&pool, &route));
 //! for _ in 0..200 {
-//!     merits.note(&pool, &route, false);
+//!     merits.record(&pool, &route, false);
 //! }
-//! let asked = (0..160).filter(|_| merits.asks_again(&pool, &route));
+//! let asked = (0..160).filter(|_| merits.should_retry(&pool, &route));
 //! assert_eq!(asked.count(), 10);
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
@@ -34,7 +34,7 @@
 
 /// How often asking again helped, by pool and route.
 #[derive(Clone, Debug, Default)]
-pub struct Merits(HashMap<(PoolId, RouteId), Merit>);
+pub struct Outcomes(HashMap<(PoolId, RouteId), Merit>);
 
 #[derive(Clone, Copy, Debug)]
 struct Merit {
@@ -51,9 +51,9 @@
     }
 }
 
-impl Merits {
+impl Outcomes {
     /// Returns whether a request that an upstream answered with an error is sent to another one.
-    pub fn asks_again(&mut self, pool: &PoolId, route: &RouteId) -> bool {
+    pub fn should_retry(&mut self, pool: &PoolId, route: &RouteId) -> bool {
         let merit = self.0.entry((pool.clone(), route.clone())).or_default();
         if merit.helped >= PAYS {
             return true;
@@ -63,7 +63,7 @@
     }
 
     /// Notes whether another upstream answered well.
-    pub fn note(&mut self, pool: &PoolId, route: &RouteId, helped: bool) {
+    pub fn record(&mut self, pool: &PoolId, route: &RouteId, helped: bool) {
         let merit = self.0.entry((pool.clone(), route.clone())).or_default();
         merit.helped += WEIGHT * (f64::from(u8::from(helped)) - merit.helped);
     }
--- a/crates/core/src/halls.rs
+++ b/crates/core/src/halls.rs
@@ -14,7 +14,7 @@
 //!
 //! let hall: Hall = "hall-a".parse()?;
 //! let mut halls = Halls::default();
-//! assert_eq!(halls.order([hall.clone()].into()).emptied, [hall.clone()]);
+//! assert_eq!(halls.evacuate([hall.clone()].into()).evacuated, [hall.clone()]);
 //! assert!(!halls.is_open(Some(&hall)));
 //! // An upstream whose data hall is not known is in none that was emptied.
 //! assert!(halls.is_open(None));
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
     /// The data halls that get no work any more.
-    pub emptied: Vec<Hall>,
+    pub evacuated: Vec<Hall>,
     /// The data halls that get work again.
     pub restored: Vec<Hall>,
 }
@@ -45,7 +45,7 @@
 impl Halls {
     /// Sets which data halls are ordered to be empty; the others of earlier orders get work
     /// again, unless the configuration empties them.
-    pub fn order(&mut self, evacuated: BTreeSet<Hall>) -> Change {
+    pub fn evacuate(&mut self, evacuated: BTreeSet<Hall>) -> Change {
         let before = self.evacuated();
         self.ordered = evacuated;
         self.since(&before)
@@ -72,7 +72,7 @@
     fn since(&self, before: &BTreeSet<Hall>) -> Change {
         let now = self.evacuated();
         Change {
-            emptied: now.difference(before).cloned().collect(),
+            evacuated: now.difference(before).cloned().collect(),
             restored: before.difference(&now).cloned().collect(),
         }
     }
--- a/crates/core/src/reading.rs
+++ b/crates/core/src/latency.rs
@@ -6,16 +6,16 @@
 //! on trial does is not learned from, so that it is compared with the others.
 //!
 //! ```
-//! use sorreldeck::reading::{Readings, Subject};
+//! use sorreldeck::latency::{Estimator, Workload};
 //! use sorreldeck::Span;
 //!
-//! let subject = Subject::Model("assistant".parse()?, "scribe".parse()?);
-//! let mut readings = Readings::default();
+//! let subject = Workload::Model("assistant".parse()?, "scribe".parse()?);
+//! let mut readings = Estimator::default();
 //! for tokens in [1_000, 5_000, 20_000].repeat(40) {
 //!     let took = Span::from_millis(20 + u64::from(tokens) / 10);
-//!     readings.note(&subject, tokens, Span::default(), took);
+//!     readings.record(&subject, tokens, Span::default(), took);
 //! }
-//! let expected = readings.expect(&subject, 10_000);
+//! let expected = readings.estimate(&subject, 10_000);
 //! assert!((950..1_100).contains(&expected.millis()), "{expected}");
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
@@ -62,7 +62,7 @@
 
 /// What has a line of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Subject {
+pub enum Workload {
     /// A model, on all routes that ask a pool for it.
     Model(PoolId, ModelId),
     /// A route whose requests name no model.
@@ -138,25 +138,25 @@
 
 /// How long answers take to begin, by what is asked.
 #[derive(Clone, Debug, Default)]
-pub struct Readings(HashMap<Subject, Line>);
+pub struct Estimator(HashMap<Workload, Line>);
 
-impl Readings {
+impl Estimator {
     /// Returns the time to the beginning of an answer whose upstream has this many
     /// tokens to read and nothing else to do first.
-    pub fn expect(&self, subject: &Subject, tokens: u32) -> Span {
+    pub fn estimate(&self, subject: &Workload, tokens: u32) -> Span {
         let line = self.0.get(subject).copied().unwrap_or_default();
         span(line.at(thousands(tokens)))
     }
 
     /// Returns how many tokens of a prompt are read a second.
-    pub fn rate(&self, subject: &Subject) -> Rate {
+    pub fn rate(&self, subject: &Workload) -> Rate {
         let line = self.0.get(subject).copied().unwrap_or_default();
         Rate::from_per_second(1e6 / line.slope().max(LEAST_SLOPE))
     }
 
     /// Returns how long an answer that is expected to begin after this time is waited for
     /// before its upstream is taken to have stalled.
-    pub fn patience(&self, subject: &Subject, expected: Span) -> Span {
+    pub fn stall_timeout(&self, subject: &Workload, expected: Span) -> Span {
         let off = self.0.get(subject).map_or(PRIOR_OFF, |line| line.off);
         let usual = expected + span(off * PATIENCE_OFF);
         let slow = Span::from_secs_f64(expected.secs_f64() * PATIENCE_TIMES);
@@ -165,7 +165,7 @@
 
     /// Notes how long an answer took to begin. `behind` is the part that is put down to
     /// what the upstream had to do first.
-    pub fn note(&mut self, subject: &Subject, tokens: u32, behind: Span, took: Span) {
+    pub fn record(&mut self, subject: &Workload, tokens: u32, behind: Span, took: Span) {
         let line = self.0.entry(subject.clone()).or_default();
         let x = thousands(tokens);
         let at = line.at(x);
--- a/crates/core/src/notice/limit.rs
+++ b/crates/core/src/notice/limit.rs
@@ -142,7 +142,7 @@
         if all <= drawn {
             return Part::Paced(Span::from_secs_f64(all as f64 / rate));
         }
-        match entries.are_among(drawn, upstream) {
+        match entries.is_selected(drawn, upstream) {
             true => Part::Paced(Span::from_secs_f64(drawn as f64 / (rate * OF_PACED))),
             false => Part::Spaced(Span::from_secs_f64(
                 (all - drawn) as f64 / (rate * OF_OTHERS),
--- a/crates/core/src/pick/work.rs
+++ b/crates/core/src/pick/availability.rs
@@ -6,7 +6,7 @@
 
 /// What work an upstream gets from this entry, and why not all.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Work {
+pub enum Availability {
     /// Whatever comes.
     All,
     /// None any more: it leaves.
@@ -24,44 +24,44 @@
     PassedOver(Span),
 }
 
-impl fmt::Display for Work {
+impl fmt::Display for Availability {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Work::All => f.write_str("all"),
-            Work::Leaving => f.write_str("none: leaving"),
-            Work::Evacuated => f.write_str("none: hall evacuated"),
-            Work::Resting(left) => write!(f, "none: rests for {}ms", left.millis()),
-            Work::Limited(rate, left) => {
+            Availability::All => f.write_str("all"),
+            Availability::Leaving => f.write_str("none: leaving"),
+            Availability::Evacuated => f.write_str("none: hall evacuated"),
+            Availability::Resting(left) => write!(f, "none: rests for {}ms", left.millis()),
+            Availability::Limited(rate, left) => {
                 let per_second = rate.per_second();
                 write!(f, "part of {per_second:.2}/s, next in {}ms", left.millis())
             }
-            Work::Cold => f.write_str("little: cold"),
-            Work::PassedOver(left) => write!(f, "passed over for {}ms", left.millis()),
+            Availability::Cold => f.write_str("little: cold"),
+            Availability::PassedOver(left) => write!(f, "passed over for {}ms", left.millis()),
         }
     }
 }
 
 impl Peers {
     /// Returns what work an upstream gets now, if it is known.
-    pub fn work(&self, link: Link, now: Time) -> Option<Work> {
+    pub fn availability(&self, link: Link, now: Time) -> Option<Availability> {
         let peer = self.get(link)?;
-        let number = peer.number();
+        let number = peer.start_id();
         let rests_until = self.notices.rests_until(number);
         let limit = self.notices.limit(number);
         Some(if self.is_leaving(peer) {
-            Work::Leaving
-        } else if !self.halls.is_open(peer.place.hall.as_ref()) {
-            Work::Evacuated
+            Availability::Leaving
+        } else if !self.halls.is_open(peer.placement.hall.as_ref()) {
+            Availability::Evacuated
         } else if now < rests_until {
-            Work::Resting(rests_until.since(now))
+            Availability::Resting(rests_until.since(now))
         } else if let Some((rate, _)) = limit {
-            Work::Limited(rate, self.notices.opens(number).since(now))
+            Availability::Limited(rate, self.notices.opens(number).since(now))
         } else if peer.is_cold(now) {
-            Work::Cold
+            Availability::Cold
         } else if now < peer.avoided {
-            Work::PassedOver(peer.avoided.since(now))
+            Availability::PassedOver(peer.avoided.since(now))
         } else {
-            Work::All
+            Availability::All
         })
     }
 }
--- a/crates/core/src/pick/mod.rs
+++ b/crates/core/src/pick/mod.rs
@@ -5,7 +5,7 @@
 //! since, and the prefill of the prompt tokens that are not in its cache.
 //!
 //! ```
-//! use sorreldeck::pick::{Near, Peers, Policy, Wish};
+//! use sorreldeck::pick::{Affinity, Peers, Policy, Criteria};
 //! use sorreldeck::reuse::Scope;
 //! use sorreldeck::wire::Load;
 //! use sorreldeck::Time;
@@ -13,24 +13,24 @@
 //! let mut peers = Peers::default();
 //! let pool = "assistant".parse()?;
 //! peers.join(1, "u1".parse()?, &pool, Load { slots: 4, ..Load::default() });
-//! let wish = Wish { pool: &pool, tokens: 100, urgent: false, rank: 0, chain: &[], shared: None, last: None, tried: &[], near: Near::default(), rate: None, scope: Scope::Hall };
+//! let wish = Criteria { pool: &pool, tokens: 100, urgent: false, rank: 0, prefixes: &[], shared_prefix: None, last_upstream: None, tried: &[], affinity: Affinity::default(), prefill_rate: None, scope: Scope::Hall };
 //! assert_eq!(peers.pick(&wish, Policy::FirstToken, Time(0), 0.5), Some(1));
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
 mod backlog;
-mod heard;
+mod notices;
 mod pace;
 mod peer;
-mod relief;
-mod warm;
-mod work;
+mod impact;
+mod warmup;
+mod availability;
 
 pub use pace::Pace;
-pub use peer::{behind, Peer};
-pub(crate) use peer::{CROSSING, KEPT};
-pub use relief::Relief;
-pub use work::Work;
+pub use peer::{prefill_wait, Peer};
+pub(crate) use peer::{CROSS_HALL_PENALTY, PREFIX_LIFETIME};
+pub use impact::Impact;
+pub use availability::Availability;
 
 use crate::halls::Halls;
 use crate::id::{Hall, Incarnation, PoolId, Region, UpstreamId, VersionId};
@@ -44,7 +44,7 @@
 use crate::wire::Load;
 use peer::{AVOID, AVOID_ERRORS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use warm::First;
+use warmup::First;
 
 /// How long an upstream that takes only so much is left to requests of a rank before those of the
 /// next one may go there, where all take only so much.
@@ -97,7 +97,7 @@
 
 /// Where an upstream is and what it runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Placement {
     /// The data hall.
     pub hall: Option<Hall>,
     /// The region that the data hall is in.
@@ -105,26 +105,26 @@
     /// The release of its software.
     pub release: Option<VersionId>,
     /// Which start of it this is, where it may start again under its name.
-    pub start: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
 }
 
 /// What a request wants of an upstream's place.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Near<'a> {
+pub struct Affinity<'a> {
     /// The data hall that is cheap to reach.
     pub hall: Option<&'a Hall>,
     /// The release that must answer.
     pub release: Option<&'a VersionId>,
     /// Which few of the upstreams that run it may answer, if not all.
-    pub few: Option<Few>,
+    pub subset: Option<Few>,
     /// The regions in which the request may be served, by its route and by its client account.
     pub regions: [Option<&'a BTreeSet<Region>>; 2],
 }
 
-impl Near<'_> {
+impl Affinity<'_> {
     /// Returns whether a request may be served at a place; one whose region is not known is in
     /// none that is allowed.
-    fn allows(&self, place: &Place) -> bool {
+    fn allows(&self, place: &Placement) -> bool {
         let is_in = |regions: &BTreeSet<Region>| {
             let region = place.region.as_ref();
             region.is_some_and(|region| regions.contains(region))
@@ -135,7 +135,7 @@
 
 /// What a request wants of an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Criteria<'a> {
     /// The pool.
     pub pool: &'a PoolId,
     /// The prompt tokens.
@@ -145,18 +145,18 @@
     /// What goes before it where upstreams take only so much: 0 goes first.
     pub rank: u8,
     /// The beginnings of the prompt that may be cached, the shortest first.
-    pub chain: &'a [Prefix],
+    pub prefixes: &'a [Prefix],
     /// The longest beginning that other requests share.
-    pub shared: Option<Prefix>,
+    pub shared_prefix: Option<Prefix>,
     /// The upstream that answered the session last.
-    pub last: Option<&'a UpstreamId>,
+    pub last_upstream: Option<&'a UpstreamId>,
     /// The links already tried.
     pub tried: &'a [Link],
     /// Where the upstream ought to be.
-    pub near: Near<'a>,
+    pub affinity: Affinity<'a>,
     /// How fast its prompt is read, in tokens, where that is learned from answers; each
     /// upstream then counts as reading until it answers.
-    pub rate: Option<Rate>,
+    pub prefill_rate: Option<Rate>,
     /// Over which upstreams the shared beginning has one home.
     pub scope: Scope,
 }
@@ -167,9 +167,9 @@
     /// The link to it.
     pub link: Link,
     /// The tokens of the prompt that it has to read.
-    pub fresh: u32,
+    pub uncached_tokens: u32,
     /// The reading that this entry and others sent there before and that has not ended.
-    pub unread: Span,
+    pub pending_prefill: Span,
 }
 
 /// The upstreams in reach of an entry, by pool.
@@ -232,7 +232,7 @@
     }
 
     /// Notes that the upstream takes no new work.
-    pub fn goodbye(&mut self, link: Link) {
+    pub fn mark_leaving(&mut self, link: Link) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.leaving = true;
         }
@@ -255,29 +255,29 @@
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.sent(tokens, chain, now);
             if peer.has_spoken {
-                self.notices.sent(peer.number(), now);
+                self.notices.sent(peer.start_id(), now);
             }
         }
     }
 
     /// Notes that an upstream has a prompt to read that takes this long.
-    pub fn reads(&mut self, link: Link, reading: Span) {
+    pub fn prefill_started(&mut self, link: Link, reading: Span) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.unread = peer.unread + reading;
+            peer.pending_prefill = peer.pending_prefill + reading;
         }
     }
 
     /// Notes that an upstream has read a prompt, or does not have to any more.
-    pub fn has_read(&mut self, link: Link, reading: Span) {
+    pub fn prefill_ended(&mut self, link: Link, reading: Span) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.unread = peer.unread - reading;
+            peer.pending_prefill = peer.pending_prefill - reading;
         }
     }
 
     /// Notes that another entry sent an upstream a prompt that takes this long to be read.
-    pub fn told(&mut self, number: u64, reading: Span, now: Time) {
+    pub fn add_remote_prefill(&mut self, number: u64, reading: Span, now: Time) {
         if let Some(peer) = self.numbered(number).next() {
-            peer.told(reading, now);
+            peer.add_remote_prefill(reading, now);
         }
     }
 
@@ -285,29 +285,29 @@
     /// may have joined again.
     fn numbered(&mut self, number: u64) -> impl Iterator<Item = &mut Peer> {
         let peers = self.peers.values_mut();
-        peers.filter(move |peer| peer.number() == number)
+        peers.filter(move |peer| peer.start_id() == number)
     }
 
     /// Sets where an upstream is and what it runs.
-    pub fn settle(&mut self, link: Link, place: Place) {
+    pub fn set_placement(&mut self, link: Link, place: Placement) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.settle(place);
-            peer.has_spoken = self.notices.knows(peer.number());
+            peer.set_placement(place);
+            peer.has_spoken = self.notices.knows(peer.start_id());
         }
     }
 
     /// Notes that something came from an upstream.
-    pub fn heard(&mut self, link: Link, now: Time) {
+    pub fn heard_from(&mut self, link: Link, now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.heard = now;
+            peer.last_heard = now;
         }
     }
 
     /// Notes that something came from every upstream, as far as can be known
     /// after this process itself stood still.
-    pub fn heard_all(&mut self, now: Time) {
+    pub fn heard_from_all(&mut self, now: Time) {
         for peer in self.peers.values_mut() {
-            peer.heard = now;
+            peer.last_heard = now;
         }
     }
 
@@ -319,7 +319,7 @@
     }
 
     /// Notes a failure: the upstream is passed over for a while.
-    pub fn struck(&mut self, link: Link, now: Time) {
+    pub fn failed(&mut self, link: Link, now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.avoid(AVOID, now);
         }
@@ -328,7 +328,7 @@
     /// Notes that an upstream answered with an error of its own. It may be the
     /// request's, so what comes next goes elsewhere and nothing is sent again; an
     /// upstream that fails everything is left for longer each time.
-    pub fn erred(&mut self, link: Link, now: Time) {
+    pub fn returned_error(&mut self, link: Link, now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.avoid(AVOID_ERRORS, now);
         }
@@ -348,7 +348,7 @@
     }
 
     fn takes_work(&self, peer: &Peer) -> bool {
-        !self.is_leaving(peer) && self.halls.is_open(peer.place.hall.as_ref())
+        !self.is_leaving(peer) && self.halls.is_open(peer.placement.hall.as_ref())
     }
 
     /// Returns the upstreams of a pool in reach.
@@ -368,7 +368,7 @@
     pub fn releases(&self, pool: &PoolId) -> BTreeMap<&VersionId, usize> {
         let mut releases = BTreeMap::new();
         let working = self.working(pool).map(|(_, peer)| peer);
-        for release in working.filter_map(|p| p.place.release.as_ref()) {
+        for release in working.filter_map(|p| p.placement.release.as_ref()) {
             *releases.entry(release).or_default() += 1;
         }
         releases
@@ -376,9 +376,9 @@
 
     /// Returns the releases that the upstreams of a pool run, whether or not their data hall
     /// gets work, without those that are leaving.
-    pub fn present(&self, pool: &PoolId) -> BTreeSet<VersionId> {
+    pub fn present_releases(&self, pool: &PoolId) -> BTreeSet<VersionId> {
         let staying = self.of_pool(pool).filter(|(_, p)| !self.is_leaving(p));
-        let releases = staying.filter_map(|(_, p)| p.place.release.clone());
+        let releases = staying.filter_map(|(_, p)| p.placement.release.clone());
         releases.collect()
     }
 
@@ -395,7 +395,7 @@
     /// Returns the link to the upstream that gets the request, if one may.
     ///
     /// `draw` is a random number in `[0, 1)`.
-    pub fn pick(&mut self, wish: &Wish, policy: Policy, now: Time, draw: f64) -> Option<Link> {
+    pub fn pick(&mut self, wish: &Criteria, policy: Policy, now: Time, draw: f64) -> Option<Link> {
         let chosen = self.choose(wish, policy, now, draw);
         chosen.map(|chosen| chosen.link)
     }
@@ -403,7 +403,7 @@
     /// Returns the upstream that gets the request, if one may, and what it finds there.
     ///
     /// `draw` is a random number in `[0, 1)`.
-    pub fn choose(&mut self, wish: &Wish, policy: Policy, now: Time, draw: f64) -> Option<Chosen> {
+    pub fn choose(&mut self, wish: &Criteria, policy: Policy, now: Time, draw: f64) -> Option<Chosen> {
         let may = |link: &Link, peer: &Peer| {
             !wish.tried.contains(link) && peer.suits(wish) && self.admits(peer, now)
         };
@@ -411,7 +411,7 @@
             .working(wish.pool)
             .filter(|(link, peer)| may(link, peer));
         let mut usable: Vec<Link> = usable.map(|(link, _)| link).collect();
-        if let Some(few) = wish.near.few {
+        if let Some(few) = wish.affinity.subset {
             self.keep_few(&mut usable, few);
         }
         let sound = |l: &Link| self.peers[l].avoided <= now;
@@ -450,16 +450,16 @@
         let peer = self.peers.get(&link)?;
         Some(Chosen {
             link,
-            fresh: peer.fresh(wish, home == Some(link), now),
-            unread: peer.unread(now),
+            uncached_tokens: peer.uncached_tokens(wish, home == Some(link), now),
+            pending_prefill: peer.pending_prefill(now),
         })
     }
 
     /// Returns the upstream that gets a request which had better not go where others are,
     /// besides those `tried`; it goes there where nothing else is left.
-    pub fn choose_apart(
+    pub fn choose_distinct(
         &mut self,
-        wish: &Wish,
+        wish: &Criteria,
         tried: &[Link],
         policy: Policy,
         now: Time,
@@ -470,7 +470,7 @@
         if chosen.as_ref().is_some_and(is_sound) || wish.tried.len() == tried.len() {
             return chosen;
         }
-        let wish = Wish { tried, ..*wish };
+        let wish = Criteria { tried, ..*wish };
         self.choose(&wish, policy, now, draw)
     }
 
@@ -483,18 +483,18 @@
     }
 
     /// Returns in how many data halls the upstreams of a pool are.
-    pub fn halls(&self, pool: &PoolId) -> usize {
+    pub fn hall_count(&self, pool: &PoolId) -> usize {
         let halls = self
             .working(pool)
-            .filter_map(|(_, p)| p.place.hall.as_ref());
+            .filter_map(|(_, p)| p.placement.hall.as_ref());
         halls.collect::<BTreeSet<&Hall>>().len()
     }
 
     /// Returns the upstream that keeps a shared beginning for all entries, or those of a
     /// data hall: they agree on it without talking, so it is read once and stays in
     /// the cache there. Where the own data hall has none left, all have one.
-    fn home(&self, links: &[Link], wish: &Wish) -> Option<Link> {
-        let shared = wish.shared?;
+    fn home(&self, links: &[Link], wish: &Criteria) -> Option<Link> {
+        let shared = wish.shared_prefix?;
         let is_near = |l: &&Link| self.peers[*l].crossing(wish) == 0;
         let anywhere = wish.scope == Scope::All || !links.iter().any(|l| is_near(&l));
         let ranked = links.iter().filter(|l| anywhere || is_near(l));
@@ -519,12 +519,12 @@
     }
 
     /// Returns how many upstreams of a pool may get work.
-    pub fn in_pool(&self, pool: &PoolId) -> usize {
+    pub fn available_count(&self, pool: &PoolId) -> usize {
         self.working(pool).count()
     }
 
     /// Returns the least wait that the upstreams of a pool report.
-    pub fn least_wait(&self, pool: &PoolId) -> Option<Span> {
+    pub fn min_wait(&self, pool: &PoolId) -> Option<Span> {
         self.working(pool).map(|(_, p)| p.load.wait).min()
     }
 }
--- a/crates/core/src/pick/heard.rs
+++ b/crates/core/src/pick/notices.rs
@@ -8,7 +8,7 @@
 
 impl Peers {
     /// Takes in what an upstream says of itself in the answer to a request sent then.
-    pub fn hear(&mut self, link: Link, notice: Notice, asked: Time, now: Time) {
+    pub fn apply_notice(&mut self, link: Link, notice: Notice, asked: Time, now: Time) {
         let Some(peer) = self.peers.get_mut(&link) else {
             return;
         };
@@ -23,7 +23,7 @@
         if notice.is_empty() && !peer.has_spoken {
             return;
         }
-        let number = peer.number();
+        let number = peer.start_id();
         let before = self.notices.limit(number);
         let entries = &self.entries;
         for change in self.notices.hear(number, notice, asked, entries, now) {
@@ -32,7 +32,7 @@
     }
 
     /// Takes in what another entry tells of an upstream.
-    pub fn heard_of(&mut self, word: Word, now: Time) {
+    pub fn apply_remote_notice(&mut self, word: Word, now: Time) {
         let number = word.upstream;
         if let Change::Resting(rest) = word.change {
             return self.spare(number, rest, now);
@@ -74,7 +74,7 @@
         now: Time,
     ) {
         let mut peers = self.peers.values();
-        let Some(peer) = peers.find(|peer| peer.number() == number) else {
+        let Some(peer) = peers.find(|peer| peer.start_id() == number) else {
             return;
         };
         let upstream = &peer.upstream;
@@ -99,54 +99,54 @@
 
     /// Returns whether an upstream takes no new requests any more, by whatever way that is known.
     pub(super) fn is_leaving(&self, peer: &Peer) -> bool {
-        peer.leaving || (peer.has_spoken && self.notices.leaving(peer.number()).is_some())
+        peer.leaving || (peer.has_spoken && self.notices.leaving(peer.start_id()).is_some())
     }
 
     /// Returns from when on an upstream takes requests of this entry, as far as it has said.
     pub(super) fn opens(&self, peer: &Peer) -> Time {
         match peer.has_spoken {
-            true => self.notices.opens(peer.number()),
+            true => self.notices.opens(peer.start_id()),
             false => Time::default(),
         }
     }
 
     pub(super) fn is_limited(&self, peer: &Peer) -> bool {
-        peer.has_spoken && self.notices.is_limited(peer.number())
+        peer.has_spoken && self.notices.is_limited(peer.start_id())
     }
 
     /// Returns whether the next request is to go to an upstream to hear what it says now.
     pub(super) fn wants_trial(&self, peer: &Peer, now: Time) -> bool {
-        peer.has_spoken && self.notices.wants_trial(peer.number(), now)
+        peer.has_spoken && self.notices.wants_trial(peer.start_id(), now)
     }
 
     /// Returns whether an upstream has asked this entry for rest that has not ended.
     pub fn is_resting(&self, link: Link, now: Time) -> bool {
-        let number = self.get(link).map(Peer::number);
+        let number = self.get(link).map(Peer::start_id);
         number.is_some_and(|number| now < self.notices.rests_until(number))
     }
 
     /// Returns how many upstreams want no requests of this entry for a while.
     pub fn resting(&self, now: Time) -> usize {
-        let resting = |peer: &&Peer| now < self.notices.rests_until(peer.number());
+        let resting = |peer: &&Peer| now < self.notices.rests_until(peer.start_id());
         self.peers.values().filter(resting).count()
     }
 
     /// Returns how many upstreams have said that they leave.
     pub fn leaving(&self) -> usize {
-        let leaving = |peer: &&Peer| self.notices.leaving(peer.number()).is_some();
+        let leaving = |peer: &&Peer| self.notices.leaving(peer.start_id()).is_some();
         self.peers.values().filter(leaving).count()
     }
 
     /// Forgets what the upstream at a link has said, since it may be another start of it.
     pub fn forget_notices(&mut self, link: Link) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            self.notices.forget(peer.number());
+            self.notices.forget(peer.start_id());
             peer.has_spoken = false;
         }
     }
 
     /// Returns what other entries are to be told of upstreams.
-    pub fn words(&mut self) -> Vec<Word> {
+    pub fn take_updates(&mut self) -> Vec<Word> {
         self.notices.words()
     }
 
@@ -162,7 +162,7 @@
 
     /// Returns how long it takes until an upstream of a pool may get a request that gets none now,
     /// as far as upstreams have said; `None` where none has said anything.
-    pub fn opens_in(&self, pool: &PoolId, now: Time) -> Option<Span> {
+    pub fn available_in(&self, pool: &PoolId, now: Time) -> Option<Span> {
         let opens = self.working(pool).map(|(_, peer)| self.opens(peer));
         let next = opens.filter(|at| *at > now).min()?;
         Some(next.since(now))
--- a/crates/core/src/pick/peer.rs
+++ b/crates/core/src/pick/peer.rs
@@ -2,7 +2,7 @@
 
 use super::backlog::Backlog;
 use super::pace::{Pace, Told};
-use super::{Place, Prefix, Wish};
+use super::{Placement, Prefix, Criteria};
 use crate::digest::mix;
 use crate::entry::Known;
 use crate::id::UpstreamId;
@@ -18,10 +18,10 @@
 const PREFIXES: usize = 512;
 /// How long a beginning that was not asked for again is taken to be cached: under
 /// the usual load an engine reads as much as its memory holds in some 15 s.
-pub(crate) const KEPT: Span = Span::from_millis(10_000);
+pub(crate) const PREFIX_LIFETIME: Span = Span::from_millis(10_000);
 /// What crossing to another data hall is taken to cost: so much longer may the
 /// wait in the own hall be. Bytes between halls are dear.
-pub(crate) const CROSSING: Span = Span::from_millis(60);
+pub(crate) const CROSS_HALL_PENALTY: Span = Span::from_millis(60);
 /// What reading a shared prompt token again costs beyond the time it takes, in
 /// microseconds of wait: it holds up what else runs there.
 const REREAD_US: u64 = 30;
@@ -48,7 +48,7 @@
 const WAITS_FOR: f64 = 0.5;
 
 /// Returns how long a prompt waits at an upstream that has this much to read.
-pub fn behind(unread: Span) -> Span {
+pub fn prefill_wait(unread: Span) -> Span {
     Span::from_secs_f64(unread.secs_f64() * WAITS_FOR)
 }
 
@@ -75,15 +75,15 @@
     /// The prompt tokens sent since the last report.
     pub tokens_since: u32,
     /// The reading sent by this entry that has not ended, where runs tell when it has.
-    pub unread: Span,
+    pub pending_prefill: Span,
     /// The reading that other entries told of.
     others: Backlog,
     /// Whether it said goodbye.
     pub leaving: bool,
     /// Where it is and what it runs.
-    pub place: Place,
+    pub placement: Placement,
     /// When anything came from it last.
-    pub heard: Time,
+    pub last_heard: Time,
     /// Until when it is passed over, since it failed.
     pub avoided: Time,
     /// Whether it is forgotten when nothing of this entry runs there any more.
@@ -117,11 +117,11 @@
             in_flight: 0,
             since_report: 0,
             tokens_since: 0,
-            unread: Span::default(),
+            pending_prefill: Span::default(),
             others: Backlog::default(),
             leaving: false,
-            place: Place::default(),
-            heard: Time::default(),
+            placement: Placement::default(),
+            last_heard: Time::default(),
             avoided: Time::default(),
             strikes: 0,
             retired: false,
@@ -176,10 +176,10 @@
 
     /// Returns whether the upstream runs the release that must answer, if one must, and is where
     /// the request may be served.
-    pub(super) fn suits(&self, wish: &Wish) -> bool {
-        let release = wish.near.release;
-        let runs = release.is_none_or(|r| self.place.release.as_ref() == Some(r));
-        runs && wish.near.allows(&self.place)
+    pub(super) fn suits(&self, wish: &Criteria) -> bool {
+        let release = wish.affinity.release;
+        let runs = release.is_none_or(|r| self.placement.release.as_ref() == Some(r));
+        runs && wish.affinity.allows(&self.placement)
     }
 
     /// Returns whether the upstream counts as cold; never, where it bears everything then.
@@ -188,16 +188,16 @@
     }
 
     /// Sets where it is and what it runs.
-    pub(super) fn settle(&mut self, place: Place) {
+    pub(super) fn set_placement(&mut self, place: Placement) {
         // What entries tell of one start must not be taken for another's; where beginnings have
         // their home follows the name, which does not change.
-        let start = place.start.map_or(0, |start| start.0);
+        let start = place.incarnation.map_or(0, |start| start.0);
         self.number = mix(self.seed ^ start);
-        self.place = place;
+        self.placement = place;
     }
 
     /// Returns the number that stands for this start of it between entries.
-    pub fn number(&self) -> u64 {
+    pub fn start_id(&self) -> u64 {
         self.number
     }
 
@@ -207,39 +207,39 @@
     }
 
     /// Notes a reading that another entry sent there.
-    pub(super) fn told(&mut self, reading: Span, now: Time) {
+    pub(super) fn add_remote_prefill(&mut self, reading: Span, now: Time) {
         self.others.add(reading, now);
     }
 
     /// Returns what is to be read there, as far as this entry knows.
-    pub(super) fn unread(&self, now: Time) -> Span {
-        self.unread + self.others.left(now)
+    pub(super) fn pending_prefill(&self, now: Time) -> Span {
+        self.pending_prefill + self.others.left(now)
     }
 
     /// Returns what crossing to the upstream's data hall costs, in microseconds.
-    pub(super) fn crossing(&self, wish: &Wish) -> u64 {
-        let there = wish.near.hall.zip(self.place.hall.as_ref());
+    pub(super) fn crossing(&self, wish: &Criteria) -> u64 {
+        let there = wish.affinity.hall.zip(self.placement.hall.as_ref());
         match there.is_some_and(|(own, hall)| own != hall) {
-            true => CROSSING.micros(),
+            true => CROSS_HALL_PENALTY.micros(),
             false => 0,
         }
     }
 
     /// Returns the tokens of the prompt that are cached, as far as this entry
     /// knows.
-    fn cached(&self, wish: &Wish, is_home: bool, now: Time) -> u32 {
-        if wish.last == Some(&self.upstream) {
+    fn cached(&self, wish: &Criteria, is_home: bool, now: Time) -> u32 {
+        if wish.last_upstream == Some(&self.upstream) {
             return wish.tokens;
         }
-        let known = wish.chain.iter().rev().find(|p| self.remembers(p, now));
+        let known = wish.prefixes.iter().rev().find(|p| self.remembers(p, now));
         let kept = known.map_or(0, |p| p.tokens);
-        let shared = wish.shared.filter(|_| is_home).map_or(0, |p| p.tokens);
+        let shared = wish.shared_prefix.filter(|_| is_home).map_or(0, |p| p.tokens);
         kept.max(shared).min(wish.tokens)
     }
 
     /// Returns the tokens of the prompt that the upstream has to read, as far as this
     /// entry knows.
-    pub(super) fn fresh(&self, wish: &Wish, is_home: bool, now: Time) -> u32 {
+    pub(super) fn uncached_tokens(&self, wish: &Criteria, is_home: bool, now: Time) -> u32 {
         wish.tokens - self.cached(wish, is_home, now)
     }
 
@@ -249,16 +249,16 @@
     }
 
     /// Returns the expected time to the first token, in microseconds.
-    pub(super) fn first_token(&self, wish: &Wish, is_home: bool, now: Time) -> u64 {
-        let fresh = u64::from(self.fresh(wish, is_home, now));
+    pub(super) fn first_token(&self, wish: &Criteria, is_home: bool, now: Time) -> u64 {
+        let fresh = u64::from(self.uncached_tokens(wish, is_home, now));
         // Who leaves the home of its beginning has that read again beside the prompts of others:
         // so what others sent to the home does not count.
         let unread = match is_home {
-            true => self.unread,
-            false => self.unread(now),
+            true => self.pending_prefill,
+            false => self.pending_prefill(now),
         };
-        let work = self.work(wish.rate, fresh, unread);
-        let reread = wish.shared.map_or(0, |_| fresh * REREAD_US);
+        let work = self.work(wish.prefill_rate, fresh, unread);
+        let reread = wish.shared_prefix.map_or(0, |_| fresh * REREAD_US);
         let work = self.pace.stretch(work + UNKNOWN_SERVICE.micros(), now);
         self.queue(wish.urgent, now) + work + reread + self.crossing(wish)
     }
@@ -267,7 +267,7 @@
     /// microseconds.
     fn work(&self, rate: Option<Rate>, fresh: u64, unread: Span) -> u64 {
         let (rate, before) = match (self.load.prefill, rate) {
-            (0, Some(learned)) => (learned.per_second(), behind(unread)),
+            (0, Some(learned)) => (learned.per_second(), prefill_wait(unread)),
             (0, None) => (f64::from(PREFILL), self.since(f64::from(PREFILL))),
             (told, _) => (f64::from(told), self.since(f64::from(told))),
         };
@@ -315,6 +315,6 @@
     /// Returns whether a beginning that was sent here is taken to be cached still.
     fn remembers(&self, prefix: &Prefix, now: Time) -> bool {
         let known = self.prefixes.get(&prefix.hash);
-        known.is_some_and(|known| now.since(known.used) < KEPT)
+        known.is_some_and(|known| now.since(known.used) < PREFIX_LIFETIME)
     }
 }
--- a/crates/core/src/pick/warm.rs
+++ b/crates/core/src/pick/warmup.rs
@@ -52,13 +52,13 @@
 
 impl Peers {
     /// Returns which data halls get work.
-    pub fn standing(&self) -> &Halls {
+    pub fn hall_states(&self) -> &Halls {
         &self.halls
     }
 
     /// Sets which data halls are ordered to be empty, apart from the configuration.
-    pub fn order(&mut self, evacuated: BTreeSet<Hall>, now: Time) -> Change {
-        let change = self.halls.order(evacuated);
+    pub fn evacuate(&mut self, evacuated: BTreeSet<Hall>, now: Time) -> Change {
+        let change = self.halls.evacuate(evacuated);
         self.cool_halls(&change, now);
         change
     }
@@ -84,16 +84,16 @@
     /// Upstreams of a data hall that gets work again may have been started shortly before.
     fn cool_halls(&mut self, change: &Change, now: Time) {
         for peer in self.peers.values_mut() {
-            let hall = peer.place.hall.as_ref();
+            let hall = peer.placement.hall.as_ref();
             let is_back = hall.is_some_and(|hall| change.restored.contains(hall));
             if let Some(warmup) = peer.warmup.filter(|_| is_back) {
-                peer.ramp.cool(now, warmup.span);
+                peer.ramp.mark_cold(now, warmup.span);
             }
         }
     }
 
     /// Notes which entries send requests, this one and the others that are known.
-    pub fn shared_by<'a>(
+    pub fn set_entries<'a>(
         &mut self,
         own: &InstanceId,
         others: impl Iterator<Item = &'a InstanceId>,
@@ -111,34 +111,34 @@
             return;
         };
         if let Some(warmup) = peer.warmup.filter(|_| !is_first) {
-            peer.ramp.cool(now, warmup.span);
+            peer.ramp.mark_cold(now, warmup.span);
         }
     }
 
     /// Notes that an upstream is cold for so long from now on.
-    pub fn cool(&mut self, link: Link, left: Span, now: Time) {
+    pub fn mark_cold(&mut self, link: Link, left: Span, now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.ramp.cool(now, left);
+            peer.ramp.mark_cold(now, left);
         }
     }
 
     /// Notes that an upstream could not be reached or went down: it may come back cold at any
     /// moment, long before its row says so.
-    pub fn doubt(&mut self, link: Link) {
+    pub fn suspect_restart(&mut self, link: Link) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.ramp.doubt();
+            peer.ramp.suspect_restart();
         }
     }
 
     /// Notes that another entry saw an upstream go down, which a number stands for.
-    pub fn doubt_number(&mut self, number: u64) {
+    pub fn suspect_restart_of_id(&mut self, number: u64) {
         for peer in self.numbered(number) {
-            peer.ramp.doubt();
+            peer.ramp.suspect_restart();
         }
     }
 
     /// Notes that an upstream answers.
-    pub fn answers(&mut self, link: Link, now: Time) {
+    pub fn answered(&mut self, link: Link, now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
             let span = peer.warmup.map_or(Span::default(), |w| w.span);
             peer.ramp.answered(now, span);
@@ -151,7 +151,7 @@
     }
 
     /// Returns the pools of which no upstream may get work, though there are some.
-    pub fn without_work(&self) -> impl Iterator<Item = &PoolId> {
+    pub fn pools_without_upstream(&self) -> impl Iterator<Item = &PoolId> {
         let pools = self.pools.iter().filter(|(_, links)| !links.is_empty());
         let idle = pools.filter(|(pool, _)| self.working(pool).next().is_none());
         idle.map(|(pool, _)| pool)
@@ -161,7 +161,7 @@
     /// while it is cold.
     pub(super) fn is_warm_enough(&self, peer: &Peer, now: Time) -> bool {
         peer.warmup.is_none_or(|warmup| {
-            let pause = || self.entries.pause(peer.number(), warmup.rate);
+            let pause = || self.entries.pause(peer.start_id(), warmup.rate);
             peer.ramp.admits(now, pause)
         })
     }
--- a/crates/core/src/release/moving.rs
+++ b/crates/core/src/release/moving.rs
@@ -3,7 +3,7 @@
 use super::schedule::{Schedule, Stage};
 use super::tally::{chance_of, Tally};
 use super::{Answer, Few, Grounds, Order, Report, State};
-use crate::evidence::{Bar, Detector, Evidence};
+use crate::evidence::{Thresholds, Detector, Evidence};
 use crate::id::{Hall, UpstreamId, VersionId};
 use crate::unit::{Share, Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -241,9 +241,9 @@
     /// Takes in whether an answer speaks against the release; returns whether it has
     /// just been found bad.
     pub fn learn(&mut self, upstream: &UpstreamId, failed: bool) -> bool {
-        let bar = Bar {
+        let bar = Thresholds {
             floor: 1.0 - MAX_FAILING,
-            bad: 1.0 - 4.0 * MAX_FAILING,
+            bad_mean: 1.0 - 4.0 * MAX_FAILING,
             max_error: MAX_FAILING,
             false_alarm: FALSE_ALARM,
         };
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -13,10 +13,10 @@
 //! let allowance = Allowance { share: Share::FIFTH, window: Span::from_millis(10_000), slack: 0 };
 //! let mut budget = Budget::new(allowance);
 //! for _ in 0..8 {
-//!     budget.earn(Time(0));
+//!     budget.deposit(Time(0));
 //! }
-//! assert!(budget.spend(Time(0), 1));
-//! assert!(!budget.spend(Time(0), 1));
+//! assert!(budget.withdraw(Time(0), 1));
+//! assert!(!budget.withdraw(Time(0), 1));
 //! ```
 
 use crate::unit::{Share, Span, Time};
@@ -24,7 +24,7 @@
 
 /// What all entries together may send once more, unless set otherwise: the slack lets one
 /// process begin with 20 before it has seen a request.
-pub const ALLOWANCE: Allowance = Allowance {
+pub const DEFAULT_ALLOWANCE: Allowance = Allowance {
     share: Share::FIFTH,
     window: Span::from_millis(10_000),
     slack: 40,
@@ -81,7 +81,7 @@
     }
 
     /// Counts a request.
-    pub fn earn(&mut self, now: Time) {
+    pub fn deposit(&mut self, now: Time) {
         self.part(now).requests += 1;
     }
 
@@ -91,7 +91,7 @@
     /// The repeats of each window that holds the present moment are compared with the
     /// requests of the window half a window before it, as far as they are known: so what all
     /// entries repeat in any window keeps to the requests of one.
-    pub fn has_one(&mut self, now: Time, entries: usize) -> bool {
+    pub fn can_withdraw(&mut self, now: Time, entries: usize) -> bool {
         let current = self.part(now).number;
         let slack = f64::from(self.allowance.slack) * SLACK_USED / entries.max(1) as f64;
         let first = current.saturating_sub(PARTS);
@@ -135,8 +135,8 @@
     }
 
     /// Takes a repeat from the budget; returns whether there was one.
-    pub fn spend(&mut self, now: Time, entries: usize) -> bool {
-        let enough = self.has_one(now, entries);
+    pub fn withdraw(&mut self, now: Time, entries: usize) -> bool {
+        let enough = self.can_withdraw(now, entries);
         if enough {
             self.part(now).repeats += 1;
         }
--- a/crates/core/src/reuse.rs
+++ b/crates/core/src/reuse.rs
@@ -11,7 +11,7 @@
 //! let mut reuse = Reuse::default();
 //! let kind = ("drafts".parse()?, 0);
 //! for beginning in 0..400 {
-//!     reuse.note(&kind, beginning / 2, Time(beginning * 1_000));
+//!     reuse.record(&kind, beginning / 2, Time(beginning * 1_000));
 //! }
 //! let (short, long) = (Span::from_millis(5), Span::from_millis(900));
 //! assert_eq!(reuse.scope(&kind, short, 3, 3, 1.0), Scope::Hall);
@@ -20,7 +20,7 @@
 //! ```
 
 use crate::id::RouteId;
-use crate::pick::{CROSSING, KEPT};
+use crate::pick::{CROSS_HALL_PENALTY, PREFIX_LIFETIME};
 use crate::unit::{Span, Time};
 use std::collections::HashMap;
 
@@ -32,7 +32,7 @@
 const MOST: usize = 4096;
 
 /// What is counted apart: a route, and the place of the model among its sizes.
-pub type Kind = (RouteId, usize);
+pub type Group = (RouteId, usize);
 
 /// Over which upstreams a beginning has one home.
 ///
@@ -52,18 +52,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct Reuse {
     used: HashMap<u64, Time>,
-    new: HashMap<Kind, f64>,
+    new: HashMap<Group, f64>,
 }
 
 impl Reuse {
     /// Notes that a beginning is asked for.
-    pub fn note(&mut self, kind: &Kind, beginning: u64, now: Time) {
+    pub fn record(&mut self, kind: &Group, beginning: u64, now: Time) {
         let last = self.used.insert(beginning, now);
-        let is_new = last.is_none_or(|last| now.since(last) >= KEPT);
+        let is_new = last.is_none_or(|last| now.since(last) >= PREFIX_LIFETIME);
         let share = self.new.entry(kind.clone()).or_insert(PRIOR);
         *share += (f64::from(u8::from(is_new)) - *share) / OVER;
         if self.used.len() > MOST {
-            self.used.retain(|_, last| now.since(*last) < KEPT);
+            self.used.retain(|_, last| now.since(*last) < PREFIX_LIFETIME);
         }
     }
 
@@ -75,7 +75,7 @@
     /// power of how many entries ask for it.
     pub fn scope(
         &self,
-        kind: &Kind,
+        kind: &Group,
         reading: Span,
         entries: usize,
         halls: usize,
@@ -85,7 +85,7 @@
         let entries = (entries as f64).max(halls);
         let new = self.new.get(kind).copied().unwrap_or(PRIOR);
         let spared = new.powf(entries / halls) - new.powf(entries);
-        let crossing = CROSSING.secs_f64() * (1.0 - 1.0 / halls);
+        let crossing = CROSS_HALL_PENALTY.secs_f64() * (1.0 - 1.0 / halls);
         match reading.secs_f64() * spared * weight > crossing {
             true => Scope::All,
             false => Scope::Hall,
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -34,7 +34,7 @@
 
 /// The node that a request belongs to, with all that it inherits.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct Context {
     /// The path of the node.
     pub path: NodePath,
     /// The client account.
@@ -48,7 +48,7 @@
 /// Why a version was chosen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum Cause {
     /// The split of the model or node.
     Split,
     /// The stage of a roll-out.
@@ -67,7 +67,7 @@
     /// The version.
     pub version: VersionId,
     /// Why.
-    pub why: Why,
+    pub cause: Cause,
 }
 
 /// What a name that callers ask for stands for.
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// Fails, not run, when the key, route or class is unknown or not allowed.
-pub fn identify(tree: &Tree, caller: &Caller) -> Result<Site, Failure> {
+pub fn identify(tree: &Tree, caller: &Caller) -> Result<Context, Failure> {
     let key = caller
         .key
         .ok_or_else(|| Failure::not_run(Reason::NoKey, "send the API key as a bearer token"))?;
@@ -92,7 +92,7 @@
         .node_of_key(key)
         .ok_or_else(|| Failure::not_run(Reason::BadKey, "the API key is not known"))?;
     let path = descend(tree, path, caller.route)?;
-    site(tree, path, caller.class)
+    context(tree, path, caller.class)
 }
 
 /// Finds the client account of a request that a route describes.
@@ -100,7 +100,7 @@
 /// # Errors
 ///
 /// Fails, not run, when the route needs an API key and this one is not known.
-pub fn guest(tree: &Tree, route: &Route, key: Option<&str>) -> Result<Site, Failure> {
+pub fn identify_on_route(tree: &Tree, route: &Route, key: Option<&str>) -> Result<Context, Failure> {
     let path = match key.and_then(|key| tree.node_of_key(key)) {
         Some(path) => path.clone(),
         None if route.public || !tree.has_keys() => NodePath::root(),
@@ -112,7 +112,7 @@
     };
     let node = tree.effective(&path).unwrap_or_default();
     let nobody = || "nobody".parse().expect("a legal name");
-    Ok(Site {
+    Ok(Context {
         account: node.account.clone().unwrap_or_else(nobody),
         class: route.class(),
         path,
@@ -126,7 +126,7 @@
 ///
 /// Fails, not run, when there is no such node, it has no client account or the
 /// class is not allowed.
-pub fn site(tree: &Tree, path: NodePath, class: Option<&str>) -> Result<Site, Failure> {
+pub fn context(tree: &Tree, path: NodePath, class: Option<&str>) -> Result<Context, Failure> {
     let node = tree
         .effective(&path)
         .ok_or_else(|| Failure::not_run(Reason::BadRequest, format!("there is no node {path}")))?;
@@ -134,7 +134,7 @@
         Failure::not_run(Reason::BadKey, format!("node {path} has no client account"))
     })?;
     let class = choose_class(&node, class)?;
-    Ok(Site {
+    Ok(Context {
         path,
         account,
         class,
@@ -186,7 +186,7 @@
 ///
 /// Fails, not run, when the name is unknown or not allowed. Both look alike to
 /// a caller that may not use the name, so that it learns nothing of others.
-pub fn target(tree: &Tree, site: &Site, name: &str) -> Result<Target, Failure> {
+pub fn target(tree: &Tree, site: &Context, name: &str) -> Result<Target, Failure> {
     if !site.node.allows_model(name) {
         let reason = match tree.has_model(name) {
             true => Reason::NotAllowed,
@@ -231,7 +231,7 @@
 /// new work.
 pub fn version(
     tree: &Tree,
-    site: &Site,
+    site: &Context,
     model: &ModelId,
     session: Option<&Session>,
     draw: f64,
@@ -242,7 +242,7 @@
         if usable(&session.version) {
             return Ok(Choice {
                 version: session.version.clone(),
-                why: Why::Session,
+                cause: Cause::Session,
             });
         }
     }
@@ -256,7 +256,7 @@
     };
     Ok(Choice {
         version,
-        why: Why::Moved(session.version.clone()),
+        cause: Cause::Moved(session.version.clone()),
     })
 }
 
@@ -274,7 +274,7 @@
 
 fn fresh_version(
     tree: &Tree,
-    site: &Site,
+    site: &Context,
     model: &ModelId,
     draw: f64,
     usable: &impl Fn(&VersionId) -> bool,
@@ -285,7 +285,7 @@
         if draw < share && usable(to) {
             return Ok(Choice {
                 version: to.clone(),
-                why: Why::Rollout(name.clone()),
+                cause: Cause::Rollout(name.clone()),
             });
         }
         // What is left of the draw is as good as a new one.
@@ -308,7 +308,7 @@
         })?;
     Ok(Choice {
         version: version.clone(),
-        why: Why::Split,
+        cause: Cause::Split,
     })
 }
 
@@ -328,7 +328,7 @@
 
 fn split<'a>(
     tree: &'a Tree,
-    site: &'a Site,
+    site: &'a Context,
     model: &ModelId,
 ) -> Result<&'a BTreeMap<VersionId, Share>, Failure> {
     let own = site.node.splits.as_ref().and_then(|all| all.get(model));
--- a/crates/core/src/strain.rs
+++ b/crates/core/src/saturation.rs
@@ -6,16 +6,16 @@
 //! work is what makes everybody late.
 //!
 //! ```
-//! use sorreldeck::strain::Strains;
+//! use sorreldeck::saturation::Tracker;
 //! use sorreldeck::Span;
 //!
-//! let mut strains = Strains::default();
+//! let mut strains = Tracker::default();
 //! let pool: sorreldeck::PoolId = "assistant".parse()?;
-//! assert_eq!(strains.spare(&pool), 1.0);
+//! assert_eq!(strains.headroom(&pool), 1.0);
 //! for _ in 0..200 {
-//!     strains.note(&pool, Span::from_millis(3_000), Span::from_millis(2_000));
+//!     strains.record(&pool, Span::from_millis(3_000), Span::from_millis(2_000));
 //! }
-//! assert_eq!(strains.spare(&pool), 0.0);
+//! assert_eq!(strains.headroom(&pool), 0.0);
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
@@ -39,7 +39,7 @@
 
 /// How strained each pool is.
 #[derive(Clone, Debug, Default)]
-pub struct Strains(BTreeMap<PoolId, Strain>);
+pub struct Tracker(BTreeMap<PoolId, Strain>);
 
 /// The mean part of the objective that runs take to begin.
 #[derive(Clone, Copy, Debug)]
@@ -59,9 +59,9 @@
     }
 }
 
-impl Strains {
+impl Tracker {
     /// Notes how long a run took to begin.
-    pub fn note(&mut self, pool: &PoolId, waited: Span, objective: Span) {
+    pub fn record(&mut self, pool: &PoolId, waited: Span, objective: Span) {
         let part = waited.secs_f64() / objective.secs_f64().max(1e-3);
         let part = part.min(MOST);
         let strain = self.0.entry(pool.clone()).or_default();
@@ -70,19 +70,19 @@
     }
 
     /// Returns the mean part of the objective that runs take to begin.
-    pub fn of(&self, pool: &PoolId) -> f64 {
+    pub fn level(&self, pool: &PoolId) -> f64 {
         self.0.get(pool).map_or(0.0, |strain| strain.now)
     }
 
     /// Returns how many times as much as on a calm day the time that answers take to begin
     /// usually matters: the nearer they are to being late, the more is a second worth.
-    pub fn weight(&self, pool: &PoolId) -> f64 {
+    pub fn latency_weight(&self, pool: &PoolId) -> f64 {
         let strain = self.0.get(pool).copied().unwrap_or_default();
         strain.usual / CALM
     }
 
     /// Returns how much is spare, from 0 to 1.
-    pub fn spare(&self, pool: &PoolId) -> f64 {
-        ((FULL - self.of(pool)) / (FULL - CALM)).clamp(0.0, 1.0)
+    pub fn headroom(&self, pool: &PoolId) -> f64 {
+        ((FULL - self.level(pool)) / (FULL - CALM)).clamp(0.0, 1.0)
     }
 }
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -6,11 +6,11 @@
 //! at least a few entries. A departure moves only the pairs that named it.
 //!
 //! ```
-//! use sorreldeck::subset::{choose, Sides};
+//! use sorreldeck::subset::{choose, Sizes};
 //!
 //! let entries = vec!["e1".parse()?, "e2".parse()?];
 //! let upstreams = vec!["u1".parse()?, "u2".parse()?, "u3".parse()?];
-//! let sides = Sides { own: 1, least: 1 };
+//! let sides = Sizes { per_entry: 1, per_upstream: 1 };
 //! let chosen = choose(&entries[0], &entries, &upstreams, sides);
 //! assert!(!chosen.is_empty());
 //! # Ok::<(), sorreldeck::Error>(())
@@ -22,37 +22,37 @@
 
 /// How many links each side asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sides {
+pub struct Sizes {
     /// The upstreams that an entry takes.
-    pub own: usize,
+    pub per_entry: usize,
     /// The entries that every upstream gets at least.
-    pub least: usize,
+    pub per_upstream: usize,
 }
 
 /// The sides used by the daemon.
-pub const SIDES: Sides = Sides { own: 24, least: 4 };
+pub const SIZES: Sizes = Sizes { per_entry: 24, per_upstream: 4 };
 
 /// Returns the upstreams that entry `me` keeps links to.
 pub fn choose(
     me: &InstanceId,
     entries: &[InstanceId],
     upstreams: &[UpstreamId],
-    sides: Sides,
+    sides: Sizes,
 ) -> BTreeSet<UpstreamId> {
     let mut ranked: Vec<(u64, &UpstreamId)> = upstreams
         .iter()
         .map(|u| (score(me.as_str(), u), u))
         .collect();
     ranked.sort_by(|a, b| b.cmp(a));
-    let (taken, rest) = ranked.split_at(sides.own.min(ranked.len()));
+    let (taken, rest) = ranked.split_at(sides.per_entry.min(ranked.len()));
     let mut chosen: BTreeSet<UpstreamId> = taken.iter().map(|(_, u)| (*u).clone()).collect();
     for (own, upstream) in rest {
         let better = entries
             .iter()
             .filter(|e| *e != me && score(e.as_str(), upstream) > *own)
-            .take(sides.least)
+            .take(sides.per_upstream)
             .count();
-        if better < sides.least {
+        if better < sides.per_upstream {
             chosen.insert((*upstream).clone());
         }
     }
--- a/crates/core/src/warmup.rs
+++ b/crates/core/src/warmup.rs
@@ -19,7 +19,7 @@
 //! assert_eq!(pause, Some(Span::from_millis(500)));
 //!
 //! let mut ramp = Ramp::default();
-//! ramp.cool(Time(0), Span::from_millis(3_000));
+//! ramp.mark_cold(Time(0), Span::from_millis(3_000));
 //! ramp.sent(Time(0));
 //! assert!(!ramp.admits(Time(400_000), || pause));
 //! assert!(ramp.admits(Time(500_000), || pause));
@@ -54,12 +54,12 @@
         let all = self.count();
         let bears = rate.per_second().max(f64::MIN_POSITIVE);
         let senders = all.min((bears as usize).max(1));
-        let sends = self.are_among(senders, upstream);
+        let sends = self.is_selected(senders, upstream);
         sends.then(|| Span::from_secs_f64(senders as f64 / bears))
     }
 
     /// Returns whether this entry is among so many that are drawn for an upstream.
-    pub fn are_among(&self, drawn: usize, upstream: u64) -> bool {
+    pub fn is_selected(&self, drawn: usize, upstream: u64) -> bool {
         let rank = |entry: u64| digest::mix(entry ^ upstream);
         let own = rank(self.own);
         let before = self.others.iter().filter(|other| rank(**other) > own);
@@ -89,12 +89,12 @@
 
 impl Ramp {
     /// Notes that the upstream is cold for so long from now on.
-    pub fn cool(&mut self, now: Time, left: Span) {
+    pub fn mark_cold(&mut self, now: Time, left: Span) {
         self.until = self.until.max(now + left);
     }
 
     /// Notes that the upstream could not be reached or went down.
-    pub fn doubt(&mut self) {
+    pub fn suspect_restart(&mut self) {
         self.doubted = true;
     }
 
@@ -102,7 +102,7 @@
     /// since, so it is cold for the whole span yet.
     pub fn answered(&mut self, now: Time, span: Span) {
         if std::mem::take(&mut self.doubted) {
-            self.cool(now, span);
+            self.mark_cold(now, span);
         }
     }
 
--- a/crates/core/tests/work.rs
+++ b/crates/core/tests/availability.rs
@@ -27,6 +27,6 @@
     for reply in replies {
         stand.tell(Input::Reply(2, run, reply));
     }
-    let work = stand.entry.peers().work(2, stand.now).unwrap();
+    let work = stand.entry.peers().availability(2, stand.now).unwrap();
     assert_eq!(work.to_string(), expected);
 }
--- a/crates/core/tests/common/stand.rs
+++ b/crates/core/tests/common/stand.rs
@@ -2,7 +2,7 @@
 
 use super::{ask, entry, member, routed, sent, streams};
 use sorreldeck::entry::{Entry, Input, Output};
-use sorreldeck::pick::{Link, Place};
+use sorreldeck::pick::{Link, Placement};
 use sorreldeck::wire::Run;
 use sorreldeck::{Incarnation, RequestId, Span, Time};
 use std::collections::BTreeSet;
@@ -34,9 +34,9 @@
     }
 
     pub fn join(&mut self, link: Link, name: u64, start: u64) {
-        let place = Place {
-            start: Some(Incarnation(start)),
-            ..Place::default()
+        let place = Placement {
+            incarnation: Some(Incarnation(start)),
+            ..Placement::default()
         };
         self.tell(Input::Join(link, Box::new(member(name, place, 8))));
     }
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -4,7 +4,7 @@
 
 use sorreldeck::entry::{Entry, Head, Input, Output, Part, Reply};
 use sorreldeck::notice::Notice;
-use sorreldeck::pick::{Link, Place};
+use sorreldeck::pick::{Link, Placement};
 use sorreldeck::release::{Order, State};
 use sorreldeck::wire::{Confidence, Frame, Run};
 use sorreldeck::{Failure, Hall, Reason, RequestId, Span, Time, Verdict};
@@ -73,10 +73,10 @@
     }
 
     fn join(&mut self, link: Link, release: &str) {
-        let place = Place {
+        let place = Placement {
             hall: Some(hall_of(link)),
             release: Some(release.parse().unwrap()),
-            start: None,
+            incarnation: None,
             region: None,
         };
         let member = common::member(link, place, 8);
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -1,6 +1,6 @@
 //! Where prompts go that share a beginning: entries agree without talking.
 
-use sorreldeck::pick::{Link, Near, Peers, Place, Policy, Prefix, Wish};
+use sorreldeck::pick::{Link, Affinity, Peers, Placement, Policy, Prefix, Criteria};
 use sorreldeck::reuse::{Reuse, Scope};
 use sorreldeck::wire::Load;
 use sorreldeck::{Hall, PoolId, Span, Time};
@@ -32,13 +32,13 @@
             let link = first_link + i;
             peers.join(link, format!("u{i}").parse().unwrap(), &pool, load);
             let hall = ["a", "b"][i as usize % 2].parse().unwrap();
-            let place = Place {
-                start: None,
+            let place = Placement {
+                incarnation: None,
                 hall: Some(hall),
                 release: None,
                 region: None,
             };
-            peers.settle(link, place);
+            peers.set_placement(link, place);
         }
         let hall = "a".parse().unwrap();
         Stand {
@@ -63,20 +63,20 @@
             tokens: 12_000,
         };
         let chain = [shared, own];
-        let wish = Wish {
+        let wish = Criteria {
             pool: &self.pool,
             tokens: 12_000,
             urgent: false,
             rank: 0,
-            chain: &chain,
-            shared: Some(shared),
-            last: None,
+            prefixes: &chain,
+            shared_prefix: Some(shared),
+            last_upstream: None,
             tried: &[],
-            near: Near {
+            affinity: Affinity {
                 hall: Some(&self.hall),
-                ..Near::default()
+                ..Affinity::default()
             },
-            rate: None,
+            prefill_rate: None,
             scope: self.scope,
         };
         let link = self.peers.pick(&wish, Policy::FirstToken, NOW, draw);
@@ -150,12 +150,12 @@
 }
 
 /// Reuse of beginnings of which this many are asked for in turn, one every 50 ms.
-fn reuse(beginnings: u64) -> (Reuse, sorreldeck::reuse::Kind) {
+fn reuse(beginnings: u64) -> (Reuse, sorreldeck::reuse::Group) {
     let mut reuse = Reuse::default();
     let kind = ("drafts".parse().unwrap(), 0);
     for i in 0..2_000 {
         let beginning = i * 7_919 % beginnings;
-        reuse.note(&kind, beginning, Time(i * 50_000));
+        reuse.record(&kind, beginning, Time(i * 50_000));
     }
     (reuse, kind)
 }
@@ -170,11 +170,11 @@
 }
 
 /// Half of the requests come for something new: beginnings are asked for again at random.
-fn mixed() -> (Reuse, sorreldeck::reuse::Kind) {
+fn mixed() -> (Reuse, sorreldeck::reuse::Group) {
     let mut reuse = Reuse::default();
     let kind = ("drafts".parse().unwrap(), 1);
     for i in 0..2_000 {
-        reuse.note(&kind, i / 2, Time(i * 50_000));
+        reuse.record(&kind, i / 2, Time(i * 50_000));
     }
     (reuse, kind)
 }
--- a/crates/core/tests/reading.rs
+++ b/crates/core/tests/latency.rs
@@ -1,26 +1,26 @@
 //! How reading that is learned decides where prompts go and how long they are waited for.
 
-use sorreldeck::pick::{Link, Near, Peers, Policy, Wish};
-use sorreldeck::reading::{Readings, Subject};
+use sorreldeck::pick::{Link, Affinity, Peers, Policy, Criteria};
+use sorreldeck::latency::{Estimator, Workload};
 use sorreldeck::reuse::Scope;
 use sorreldeck::wire::Load;
 use sorreldeck::{PoolId, Rate, Span, Time};
 use test_case::test_case;
 
-fn subject(model: &str) -> Subject {
-    Subject::Model("engines".parse().unwrap(), model.parse().unwrap())
+fn subject(model: &str) -> Workload {
+    Workload::Model("engines".parse().unwrap(), model.parse().unwrap())
 }
 
 /// Readings that have seen prompts of these lengths read at this rate, with answers
 /// that are now and then late by the given time.
-fn readings(model: &str, tokens: &[u32], per_second: u64, late: u64) -> Readings {
-    let mut readings = Readings::default();
+fn readings(model: &str, tokens: &[u32], per_second: u64, late: u64) -> Estimator {
+    let mut readings = Estimator::default();
     for i in 0..400 {
         let tokens = tokens[i % tokens.len()];
         let late = if i % 7 == 0 { late } else { 0 };
         let took = 30 + u64::from(tokens) * 1_000 / per_second + late;
         let took = Span::from_millis(took);
-        readings.note(&subject(model), tokens, Span::default(), took);
+        readings.record(&subject(model), tokens, Span::default(), took);
     }
     readings
 }
@@ -32,7 +32,7 @@
     let readings = readings("m", &tokens, per_second, 0);
     let rate = readings.rate(&subject("m")).per_second() / per_second as f64;
     assert!((0.8..1.25).contains(&rate), "{rate}");
-    let expected = readings.expect(&subject("m"), 10_000).secs_f64();
+    let expected = readings.estimate(&subject("m"), 10_000).secs_f64();
     let true_one = 0.03 + 10_000.0 / per_second as f64;
     assert!((0.8..1.25).contains(&(expected / true_one)), "{expected}");
 }
@@ -40,7 +40,7 @@
 #[test]
 fn prompts_of_one_length_leave_a_rate_that_can_be_used() {
     let readings = readings("m", &[1_000], 20_000, 0);
-    let expected = readings.expect(&subject("m"), 1_000).millis();
+    let expected = readings.estimate(&subject("m"), 1_000).millis();
     assert!((70..90).contains(&expected), "{expected}");
     assert!(readings.rate(&subject("m")).per_second() > 1_000.0);
 }
@@ -50,11 +50,11 @@
 #[test]
 fn a_long_reading_is_waited_for() {
     let readings = readings("m", &[500, 17_000, 40_000], 12_000, 0);
-    let expected = readings.expect(&subject("m"), 40_000);
+    let expected = readings.estimate(&subject("m"), 40_000);
     assert!(expected > Span::from_millis(3_000));
-    assert!(readings.patience(&subject("m"), expected) > Span::from_millis(12_000));
-    let short = readings.expect(&subject("m"), 500);
-    assert!(readings.patience(&subject("m"), short) < Span::from_millis(2_500));
+    assert!(readings.stall_timeout(&subject("m"), expected) > Span::from_millis(12_000));
+    let short = readings.estimate(&subject("m"), 500);
+    assert!(readings.stall_timeout(&subject("m"), short) < Span::from_millis(2_500));
 }
 
 #[test]
@@ -64,7 +64,7 @@
         readings("m", &[500, 2_000], 40_000, 2_000),
     );
     let due = Span::from_millis(50);
-    let patience = |readings: &Readings| readings.patience(&subject("m"), due);
+    let patience = |readings: &Estimator| readings.stall_timeout(&subject("m"), due);
     assert!(patience(&uneven) > patience(&calm) + Span::from_millis(1_000));
 }
 
@@ -78,22 +78,22 @@
         };
         peers.join(link, name.parse().unwrap(), pool, load);
     }
-    peers.reads(1, unread);
+    peers.prefill_started(1, unread);
     peers
 }
 
 fn pick(peers: &mut Peers, pool: &PoolId) -> Link {
-    let wish = Wish {
+    let wish = Criteria {
         pool,
         tokens: 1_000,
         urgent: false,
         rank: 0,
-        chain: &[],
-        shared: None,
-        last: None,
+        prefixes: &[],
+        shared_prefix: None,
+        last_upstream: None,
         tried: &[],
-        near: Near::default(),
-        rate: Some(Rate::from_per_second(12_000.0)),
+        affinity: Affinity::default(),
+        prefill_rate: Some(Rate::from_per_second(12_000.0)),
         scope: Scope::Hall,
     };
     let picked = peers.pick(&wish, Policy::FirstToken, Time(1_000_000), 0.0);
@@ -109,7 +109,7 @@
     for _ in 0..8 {
         assert_eq!(pick(&mut peers, &pool), 2);
     }
-    peers.has_read(1, Span::from_millis(1_400));
+    peers.prefill_ended(1, Span::from_millis(1_400));
     assert_eq!(
         pick(&mut peers, &pool),
         1,
--- a/crates/core/tests/load.rs
+++ b/crates/core/tests/load.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::entry::{Entry, Head, Input, Output, Reply, Routed};
 use sorreldeck::notice::Notice;
-use sorreldeck::pick::{Link, Place};
+use sorreldeck::pick::{Link, Placement};
 use sorreldeck::wire::{Frame, Run};
 use sorreldeck::{RequestId, Span, Time};
 use std::collections::BTreeMap;
@@ -51,9 +51,9 @@
     let mut entry = common::entry(number as u64, 7 + number as u64);
     entry.handle(Time(1), common::streams("objective = \"500ms\""));
     for link in 1..=UPSTREAMS {
-        let place = Place {
+        let place = Placement {
             release: Some("v1".parse().unwrap()),
-            ..Place::default()
+            ..Placement::default()
         };
         let member = common::member(link, place, 16);
         entry.handle(Time(1), Input::Join(link, Box::new(member)));
--- a/crates/core/tests/policy.rs
+++ b/crates/core/tests/policy.rs
@@ -3,12 +3,12 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sorreldeck::evidence::{Bar, Detector, Evidence};
+use sorreldeck::evidence::{Thresholds, Detector, Evidence};
 use sorreldeck::lease::{Keeper, Step};
 use sorreldeck::limit::{Allocator, Demand};
 use sorreldeck::queue::{Item, Next, Queue};
 use sorreldeck::session::{Keyring, Session};
-use sorreldeck::subset::{choose, SIDES};
+use sorreldeck::subset::{choose, SIZES};
 use sorreldeck::{Class, Incarnation, InstanceId, Span, Time, UpstreamId};
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -109,9 +109,9 @@
     assert!((0.95..=1.02).contains(&used), "{used} by {shares:?}");
 }
 
-const BAR: Bar = Bar {
+const BAR: Thresholds = Thresholds {
     floor: 0.8,
-    bad: 0.5,
+    bad_mean: 0.5,
     max_error: 0.05,
     false_alarm: 0.01,
 };
@@ -154,13 +154,13 @@
     let entries: Vec<InstanceId> = (0..60).map(|i| format!("e{i}").parse().unwrap()).collect();
     let upstreams: Vec<UpstreamId> = (0..200).map(|i| format!("u{i}").parse().unwrap()).collect();
     let all = |entries: &[InstanceId], upstreams: &[UpstreamId]| -> BTreeMap<InstanceId, _> {
-        let of = |e: &InstanceId| (e.clone(), choose(e, entries, upstreams, SIDES));
+        let of = |e: &InstanceId| (e.clone(), choose(e, entries, upstreams, SIZES));
         entries.iter().map(of).collect()
     };
     let before = all(&entries, &upstreams);
     let mut cover: BTreeMap<&UpstreamId, usize> = BTreeMap::new();
     for chosen in before.values() {
-        assert!(chosen.len() <= SIDES.own + 12, "{} links", chosen.len());
+        assert!(chosen.len() <= SIZES.per_entry + 12, "{} links", chosen.len());
         for upstream in chosen {
             *cover.entry(upstream).or_default() += 1;
         }
@@ -169,7 +169,7 @@
         .iter()
         .map(|u| cover.get(u).copied().unwrap_or(0))
         .min();
-    assert!(least >= Some(SIDES.least), "{least:?}");
+    assert!(least >= Some(SIZES.per_upstream), "{least:?}");
     let after = all(&entries, &upstreams[1..]);
     let moved: usize = entries
         .iter()
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use common::{ask, entry, failure, head, own, routed, sent, streams};
 use proptest::prelude::*;
 use sorreldeck::entry::{Entry, Input, Member, Output, Reply};
-use sorreldeck::pick::{Link, Place};
+use sorreldeck::pick::{Link, Placement};
 use sorreldeck::quarantine::{Admission, Fingerprint, Hold, News, Quarantine, Run, Word};
 use sorreldeck::sidecar::{self, Sidecar};
 use sorreldeck::wire::{self, Frame, Load};
@@ -317,7 +317,7 @@
             let member = Member {
                 upstream: format!("u{link}").parse().unwrap(),
                 pool: pool(),
-                place: Place::default(),
+                place: Placement::default(),
                 load: Load {
                     slots: 8,
                     ..Load::default()
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -5,7 +5,7 @@
 use common::{failure, sent};
 use sorreldeck::entry::{Entry, Input, Member, Output, Reply};
 use sorreldeck::notice::Notice;
-use sorreldeck::pick::{Link, Pace, Place};
+use sorreldeck::pick::{Link, Pace, Placement};
 use sorreldeck::wire::Run;
 use sorreldeck::{Failure, Reason, RequestId, Span, Time, Verdict};
 use test_case::test_case;
@@ -38,10 +38,10 @@
 "#;
 
 fn member(link: Link, region: &str) -> Member {
-    let place = Place {
+    let place = Placement {
         hall: Some(format!("{region}-{link}").parse().unwrap()),
         region: Some(region.parse().unwrap()),
-        ..Place::default()
+        ..Placement::default()
     };
     common::member(link, place, 8)
 }
@@ -172,7 +172,7 @@
     for link in 1..=4 {
         stand.tell(Input::Retire(link));
     }
-    let unknown = common::member(5, Place::default(), 8);
+    let unknown = common::member(5, Placement::default(), 8);
     stand.tell(Input::Join(5, Box::new(unknown)));
     assert!(sent(&stand.ask(false)).is_none());
 }
--- a/crates/core/tests/regression/failed_continuation_looked_whole.rs
+++ b/crates/core/tests/regression/failed_continuation_looked_whole.rs
@@ -4,7 +4,7 @@
 
 use crate::common;
 use sorreldeck::entry::{Entry, Input, Member, Output, Part, Reply, Routed, Settings};
-use sorreldeck::pick::Place;
+use sorreldeck::pick::Placement;
 use sorreldeck::wire::{Frame, Load, Run};
 use sorreldeck::{Failure, Incarnation, Reason, RequestId, Span, Time, Verdict};
 
@@ -43,7 +43,7 @@
         let member = Member {
             upstream: format!("u{link}").parse().unwrap(),
             pool: "engines".parse().unwrap(),
-            place: Place::default(),
+            place: Placement::default(),
             load: Load::default(),
         };
         entry.handle(now, Input::Join(link, Box::new(member)));
--- a/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
+++ b/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
@@ -12,7 +12,7 @@
 
 use crate::common;
 use sorreldeck::entry::{Entry, Input, Member, Output, Reply, Routed};
-use sorreldeck::pick::{Link, Place};
+use sorreldeck::pick::{Link, Placement};
 use sorreldeck::release::{Order, State};
 use sorreldeck::wire::{Frame, Load, Run};
 use sorreldeck::{RequestId, Span, Time};
@@ -37,8 +37,8 @@
         let member = Member {
             upstream: format!("u{link}").parse().unwrap(),
             pool: "engines".parse().unwrap(),
-            place: Place {
-                start: None,
+            place: Placement {
+                incarnation: None,
                 hall: None,
                 release: Some(release.parse().unwrap()),
                 region: None,
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -66,10 +66,10 @@
                 *budget = Budget::new(allowance());
             }
             if rng.random::<f64>() < rate {
-                budget.earn(at(ms));
+                budget.deposit(at(ms));
                 seen.0.push((ms, false));
             }
-            while budget.spend(at(ms), entries) {
+            while budget.withdraw(at(ms), entries) {
                 seen.0.push((ms, true));
             }
         }
@@ -101,8 +101,8 @@
     let mut budget = Budget::new(allowance());
     let mut refused = [0, 0];
     for ms in 0..60_000 {
-        budget.earn(at(ms));
-        if ms % 10 < 6 && !budget.spend(at(ms), 1) {
+        budget.deposit(at(ms));
+        if ms % 10 < 6 && !budget.withdraw(at(ms), 1) {
             refused[usize::from(ms >= 2 * WINDOW_MS)] += 1;
         }
     }
@@ -118,8 +118,8 @@
     };
     let mut budget = Budget::new(tight);
     for _ in 0..100 {
-        budget.earn(at(0));
+        budget.deposit(at(0));
     }
-    assert!(budget.has_one(at(4_000), 1));
-    assert!(!budget.has_one(at(10_600), 1));
+    assert!(budget.can_withdraw(at(4_000), 1));
+    assert!(!budget.can_withdraw(at(10_600), 1));
 }
--- a/crates/core/tests/routed.rs
+++ b/crates/core/tests/routed.rs
@@ -5,7 +5,7 @@
 use common::failure;
 use sorreldeck::entry::{Entry, Head, Input, Member, Output, Part, Reply, Routed, Settings};
 use sorreldeck::notice::Notice;
-use sorreldeck::pick::{Link, Place};
+use sorreldeck::pick::{Link, Placement};
 use sorreldeck::release::{Order as MoveOrder, State};
 use sorreldeck::wire::{Confidence, Frame, Load, Order, Run};
 use sorreldeck::{Failure, Incarnation, Reason, RequestId, Span, Time, Verdict};
@@ -79,9 +79,9 @@
     let member = Member {
         upstream: name.parse().unwrap(),
         pool: pool.parse().unwrap(),
-        place: Place {
+        place: Placement {
             release: Some(release.parse().unwrap()),
-            ..Place::default()
+            ..Placement::default()
         },
         load: Load {
             slots: 4,
@@ -458,7 +458,7 @@
     let mut stand = Stand::new();
     let numbers = [1, 2].map(|link| {
         let peer = stand.entry.peers().get(link).unwrap();
-        peer.number()
+        peer.start_id()
     });
     stand.tell(Input::Reads(numbers[0], Span::from_millis(600)));
     for _ in 0..4 {
--- a/crates/core/tests/warmup.rs
+++ b/crates/core/tests/warmup.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::entry::{Entry, Input, Output, Reply};
-use sorreldeck::pick::{Link, Place};
+use sorreldeck::pick::{Link, Placement};
 use sorreldeck::quarantine::Word;
 use sorreldeck::warmup::{Entries, Ramp};
 use sorreldeck::wire::{Frame, Run};
@@ -64,7 +64,7 @@
             }
         };
         let mut ramp = Ramp::default();
-        ramp.cool(Time(0), COLD);
+        ramp.mark_cold(Time(0), COLD);
         let mut now = Time(0);
         while now < Time(0) + COLD {
             if now >= begins && ramp.admits(now, || pause) {
@@ -128,10 +128,10 @@
 
 fn member(link: Link, start: u64) -> Input {
     let hall = ["a", "b", "c"][link as usize % 3].parse().unwrap();
-    let place = Place {
+    let place = Placement {
         hall: Some(hall),
         release: Some("v1".parse().unwrap()),
-        start: Some(Incarnation(start)),
+        incarnation: Some(Incarnation(start)),
         region: None,
     };
     let member = common::member(link, place, 128);
--- a/crates/daemon/src/admin/explain.rs
+++ b/crates/daemon/src/admin/explain.rs
@@ -28,7 +28,7 @@
         let tree = request.state().tree();
         operator.may_read(&tree, &Key::new(Section::Nodes, &described.node))?;
         let class = described.class.as_deref();
-        let site = route::site(&tree, described.node.clone(), class).map_err(refusal_of)?;
+        let site = route::context(&tree, described.node.clone(), class).map_err(refusal_of)?;
         let asked = ask_of(request.state(), described)?;
         let explain = move |room: &mut Room| {
             let now = room.clock.now();
--- a/crates/daemon/src/admin/halls.rs
+++ b/crates/daemon/src/admin/halls.rs
@@ -1,14 +1,14 @@
 //! What emptying a data hall would move.
 
 use super::*;
-use sorreldeck::pick::Relief;
+use sorreldeck::pick::Impact;
 use sorreldeck::Hall;
 
 /// One pool, with the answer to whether the others bear what moves.
 #[derive(Serialize)]
 struct PoolRelief {
     #[serde(flatten)]
-    relief: Relief,
+    relief: Impact,
     borne: bool,
 }
 
@@ -25,14 +25,14 @@
 
 fn relief_of(room: &mut Room, hall: &Hall) -> Value {
     let peers = room.entry.peers();
-    let pools = peers.relief(hall).into_iter().map(|relief| PoolRelief {
-        borne: relief.is_borne(),
+    let pools = peers.evacuation_impact(hall).into_iter().map(|relief| PoolRelief {
+        borne: relief.fits(),
         relief,
     });
     let pools: Vec<PoolRelief> = pools.collect();
     json!({
         "hall": hall,
-        "evacuated": !peers.standing().is_open(Some(hall)),
+        "evacuated": !peers.hall_states().is_open(Some(hall)),
         "pools": pools,
     })
 }
--- a/crates/daemon/src/hosted/room.rs
+++ b/crates/daemon/src/hosted/room.rs
@@ -758,7 +758,7 @@
     fn join(&mut self, mut listed: Listed, from: &str) {
         // Where rows do not tell starts apart the address does: what one start said of itself
         // must not be taken for another's.
-        let start = &mut listed.member.place.start;
+        let start = &mut listed.member.place.incarnation;
         start.get_or_insert_with(|| start_at(listed.address));
         let place = &mut listed.member.place;
         place.region = place
@@ -772,7 +772,7 @@
         info!(
             "event=joined upstream={} start={:?} pool={} address={} hall={:?} release={:?} {origin}",
             member.upstream,
-            member.place.start,
+            member.place.incarnation,
             member.pool,
             listed.address,
             member.place.hall,
@@ -972,7 +972,7 @@
         gauges.leaving.set(peers.leaving() as i64);
         gauges.resting.set(peers.resting(now) as i64);
         gauges.limited.set(peers.limited() as i64);
-        let evacuated = peers.standing().evacuated();
+        let evacuated = peers.hall_states().evacuated();
         gauges.evacuated.set(evacuated.len() as i64);
         if let Some(duties) = &self.duties {
             let outcomes = duties.outcomes();
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -8,7 +8,7 @@
 use async_std::task;
 use log::{info, warn};
 use sorreldeck::pick::Link;
-use sorreldeck::subset::{self, SIDES};
+use sorreldeck::subset::{self, SIZES};
 use sorreldeck::{Incarnation, InstanceId, UpstreamId};
 use sorreldeck_net::link::{self, Event, Keys, Traffic};
 use sorreldeck_net::platform::{Instance, Platform, Role};
@@ -96,7 +96,7 @@
         .filter_map(|i| Some((i.name.as_str().parse().ok()?, i.address)))
         .collect();
     let names: Vec<UpstreamId> = sidecars.keys().cloned().collect();
-    let chosen = subset::choose(me, &entries, &names, SIDES);
+    let chosen = subset::choose(me, &entries, &names, SIZES);
     chosen.iter().map(|name| sidecars[name]).collect()
 }
 
--- a/crates/emulator/src/crash/calls.rs
+++ b/crates/emulator/src/crash/calls.rs
@@ -3,7 +3,7 @@
 use super::Kind;
 use crate::routed;
 use sorreldeck::entry::{Input, Member, Routed, What};
-use sorreldeck::pick::{Link, Place};
+use sorreldeck::pick::{Link, Placement};
 use sorreldeck::quarantine::Fingerprint;
 use sorreldeck::RequestId;
 
@@ -30,5 +30,5 @@
 
 /// Returns an upstream.
 pub fn member(link: Link) -> Member {
-    routed::member(link, Place::default(), 32)
+    routed::member(link, Placement::default(), 32)
 }
--- a/crates/emulator/src/notice/world.rs
+++ b/crates/emulator/src/notice/world.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::entry::{Entry, Input, Output, Part, Reply, Routed};
 use sorreldeck::notice::{Notice, Word};
-use sorreldeck::pick::{Link, Place, Prefix};
+use sorreldeck::pick::{Link, Placement, Prefix};
 use sorreldeck::wire::{Frame, Run};
 use sorreldeck::{Failure, InstanceId, Rate, Reason, RequestId, Span, Time};
 use std::collections::BTreeMap;
@@ -103,9 +103,9 @@
         let names: Vec<InstanceId> = names.collect();
         entry.handle(self.now, Input::Entries(names));
         for link in 1..=self.day.upstreams as Link {
-            let place = Place {
+            let place = Placement {
                 release: Some("v1".parse().expect("a legal name")),
-                ..Place::default()
+                ..Placement::default()
             };
             let member = routed::member(link, place, SLOTS);
             entry.handle(self.now, Input::Join(link, Box::new(member)));
--- a/crates/emulator/src/routed.rs
+++ b/crates/emulator/src/routed.rs
@@ -13,7 +13,7 @@
 
 use sorreldeck::entry::{Ask, Entry, Head, Input, Member, Reply, Routed, Settings, What};
 use sorreldeck::notice::Notice;
-use sorreldeck::pick::Place;
+use sorreldeck::pick::Placement;
 use sorreldeck::tree::parse_toml;
 use sorreldeck::wire::{Call, Load};
 use sorreldeck::{Incarnation, RequestId, Revision, Span, Tree};
@@ -79,7 +79,7 @@
 }
 
 /// Returns the upstream `uN` of the pool `engines`.
-pub fn member(number: u64, place: Place, slots: u32) -> Member {
+pub fn member(number: u64, place: Placement, slots: u32) -> Member {
     Member {
         upstream: format!("u{number}").parse().expect("a legal name"),
         pool: "engines".parse().expect("a legal name"),
