--- a/crates/core/src/entry/answer.rs
+++ b/crates/core/src/entry/answer.rs
@@ -5,7 +5,7 @@
 use crate::header;
 use crate::notice::Notice;
 use crate::pick::Place;
-use crate::release::LIFE;
+use crate::release::SESSION_TTL;
 use crate::wire::{Confidence, Header, Usage, Welcome};
 
 /// An accepted answer of a cascade's step and what it is told by.
@@ -138,7 +138,7 @@
     /// Notes that an upstream behind a sidecar wants no requests for this long.
     fn note_rest(&mut self, link: Link, rest: Option<Span>, now: Time) {
         let notice = Notice {
-            rest,
+            pause: rest,
             ..Notice::default()
         };
         self.peers.hear(link, notice, Time::default(), now);
@@ -539,7 +539,7 @@
             failure.verdict = Verdict::MayHaveRun;
         }
         self.limits.ended(&flight.site.account, 0.0);
-        self.note_stay(now, &flight, LIFE);
+        self.note_stay(now, &flight, SESSION_TTL);
         self.history
             .note(request, |d| d.failure = Some(failure.clone()));
         out.push(Output::Ended(done(&flight, now, Some(failure.reason))));
--- a/crates/core/src/entry/guard.rs
+++ b/crates/core/src/entry/guard.rs
@@ -6,7 +6,7 @@
 
 use super::flight::Flight;
 use super::*;
-use crate::quarantine::{Admission, News, Run as Sighting, Word};
+use crate::quarantine::{Admission, Change, Run as Sighting, Update};
 use std::collections::BTreeSet;
 
 /// When the caller of a request that is being tried elsewhere may come back: a run that
@@ -18,7 +18,7 @@
     /// whatever runs it would take the whole pool with it.
     pub(super) fn admit_again(&mut self, now: Time, flight: &Flight) -> Result<(), Failure> {
         let after = match self.quarantine.admits(flight.fingerprint, now) {
-            Admission::Free => return Ok(()),
+            Admission::Allowed => return Ok(()),
             Admission::Trial if !self.is_under_way(flight.fingerprint) => return Ok(()),
             Admission::Trial => TRIAL,
             Admission::Held(left) => left,
@@ -34,7 +34,7 @@
             return false;
         };
         let fingerprint = flight.fingerprint;
-        !self.quarantine.suspects(fingerprint, now) || !self.is_under_way(fingerprint)
+        !self.quarantine.is_suspect(fingerprint, now) || !self.is_under_way(fingerprint)
     }
 
     /// Returns whether a run of a request is at an upstream.
@@ -47,8 +47,8 @@
     /// where it is a suspect those of other suspects.
     pub(super) fn apart(&self, now: Time, flight: &Flight) -> Vec<Link> {
         let mut avoided = flight.tried.clone();
-        if self.quarantine.suspects(flight.fingerprint, now) {
-            let suspects = |f: &&Flight| self.quarantine.suspects(f.fingerprint, now);
+        if self.quarantine.is_suspect(flight.fingerprint, now) {
+            let suspects = |f: &&Flight| self.quarantine.is_suspect(f.fingerprint, now);
             let others = self.flights.values().filter(suspects);
             avoided.extend(others.filter_map(|f| f.at));
         }
@@ -75,17 +75,17 @@
                 flight.tried.last(),
             ),
         };
-        self.quarantine.lost(&sighting, now);
+        self.quarantine.record_crash(&sighting, now);
         self.peers.doubt_number(number);
     }
 
     /// Takes in what another entry tells of requests under which upstreams crashed.
-    pub(super) fn take_word(&mut self, now: Time, word: Word) {
-        if let Word::Lost { upstream, .. } = &word {
+    pub(super) fn take_word(&mut self, now: Time, word: Update) {
+        if let Update::Crashed { upstream, .. } = &word {
             self.peers.doubt_number(*upstream);
         }
         let (flights, peers) = (&self.flights, &self.peers);
-        self.quarantine.told(word, now, |fingerprint| {
+        self.quarantine.merge(word, now, |fingerprint| {
             spread(flights, peers, fingerprint, None)
         });
     }
@@ -94,29 +94,29 @@
     pub(super) fn note_answered(&mut self, now: Time, flight: &Flight) {
         if flight.status < 500 {
             self.quarantine
-                .answered(flight.fingerprint, &flight.pool, now);
+                .record_answer(flight.fingerprint, &flight.pool, now);
         }
     }
 
     /// Tells others what was found out about requests, and ends what is held back from now on.
     pub(super) fn tell_of_quarantine(&mut self, now: Time, out: &mut Outputs) {
-        for news in self.quarantine.news() {
+        for news in self.quarantine.take_changes() {
             match news {
-                News::Held(fingerprint, hold, crashes) => {
+                Change::Held(fingerprint, hold, crashes) => {
                     let left = hold.until.since(now).millis();
                     log::warn!(
                         "event=quarantined fingerprint={fingerprint} crashes={crashes} for_ms={left} before={}",
-                        hold.before
+                        hold.previous
                     );
                     self.end_held(now, fingerprint, out);
                 }
-                News::Freed(fingerprint) => {
+                Change::Freed(fingerprint) => {
                     log::info!("event=quarantine-lifted fingerprint={fingerprint} by=answer");
                 }
             }
             out.push(Output::Quarantine(news));
         }
-        out.extend(self.quarantine.words().into_iter().map(Output::Word));
+        out.extend(self.quarantine.take_updates().into_iter().map(Output::Word));
     }
 
     /// Ends the runs of a request that is held back and that have not begun to answer, before
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -111,7 +111,7 @@
             even_limits: false,
             hall: None,
             retries: retry::ALLOWANCE,
-            exposure: release::EXPOSURE,
+            exposure: release::DEFAULT_EXPOSURE,
             accepted: routed::ACCEPTED,
             counts: false,
         }
@@ -145,11 +145,11 @@
     /// long to be read.
     Reads(u64, Span),
     /// Another entry serves a session at a release.
-    Stays(release::Stay),
+    Stays(release::Affinity),
     /// Another entry tells of requests and the upstreams that crashed under them.
-    Word(quarantine::Word),
+    Word(quarantine::Update),
     /// Another entry tells what an upstream said of itself.
-    Notice(notice::Word),
+    Notice(notice::Update),
     /// It is recorded that a request is held back.
     Held(Fingerprint, quarantine::Hold),
     /// The record of a request that is held back is gone.
@@ -231,15 +231,15 @@
     /// that takes this long.
     Reads(u64, Span),
     /// Tell other entries that a session stays at a release.
-    Stays(release::Stay),
+    Stays(release::Affinity),
     /// Tell other entries of requests and the upstreams that crashed under them.
-    Word(quarantine::Word),
+    Word(quarantine::Update),
     /// Tell other entries what an upstream said of itself.
-    Notice(notice::Word),
+    Notice(notice::Update),
     /// A request of a client account began to run.
     Began(AccountId),
     /// Record that a request is held back, or that it is not any more.
-    Quarantine(quarantine::News),
+    Quarantine(quarantine::Change),
     /// A request has ended, for the histograms.
     Ended(Done),
 }
@@ -346,18 +346,18 @@
             Input::Join(link, member) => self.join(link, *member, now),
             Input::Retire(link) => self.peers.retire(link),
             Input::Reply(link, run, reply) => self.reply(now, link, run, reply, &mut out),
-            Input::Move(order, state, began) => self.releases.order(order, state, began),
+            Input::Move(order, state, began) => self.releases.set_order(order, state, began),
             Input::Told(pool, hall, report) => {
-                if self.releases.told(&pool, hall, report) {
+                if self.releases.merge(&pool, hall, report) {
                     log::warn!("event=release-bad pool={pool} by=others");
                 }
             }
             Input::Reads(number, reading) => self.peers.told(number, reading, now),
-            Input::Stays(stay) => self.releases.stayed(stay, now),
+            Input::Stays(stay) => self.releases.merge_affinity(stay, now),
             Input::Word(word) => self.take_word(now, word),
             Input::Notice(word) => self.peers.heard_of(word, now),
-            Input::Held(fingerprint, hold) => self.quarantine.recorded(fingerprint, hold, now),
-            Input::Forgotten(fingerprint) => self.quarantine.forgotten(fingerprint),
+            Input::Held(fingerprint, hold) => self.quarantine.restore_hold(fingerprint, hold, now),
+            Input::Forgotten(fingerprint) => self.quarantine.remove_hold(fingerprint),
             Input::Entries(entries) => self.set_entries(&entries, now),
             Input::Evacuate(halls) => self.evacuate(now, halls),
             Input::Cold(link, left) => self.peers.cool(link, left, now),
@@ -372,7 +372,7 @@
         }
         self.tell_of_quarantine(now, &mut out);
         out.extend(self.peers.words().into_iter().map(Output::Notice));
-        out.extend(self.releases.stays(now).into_iter().map(Output::Stays));
+        out.extend(self.releases.take_affinities(now).into_iter().map(Output::Stays));
         out
     }
 
@@ -421,7 +421,7 @@
 
     /// Returns how many requests are held back, since they crash upstreams.
     pub fn held_back(&self, now: Time) -> usize {
-        self.quarantine.held(now)
+        self.quarantine.held_count(now)
     }
 
     /// Returns how many requests are under way.
--- a/crates/core/src/entry/routed/learn.rs
+++ b/crates/core/src/entry/routed/learn.rs
@@ -64,7 +64,7 @@
         let Some(answer) = flight.tells(now, first) else {
             return;
         };
-        if self.releases.learn(&answer) {
+        if self.releases.record_answer(&answer) {
             warn_of(&answer, "own");
         }
     }
@@ -84,7 +84,7 @@
         if !self.releases.is_slow(&answer) {
             return;
         }
-        if self.releases.learn(&answer) {
+        if self.releases.record_answer(&answer) {
             warn_of(&answer, "waited");
         }
         let flight = self.flights.get_mut(&request);
@@ -101,7 +101,7 @@
         let Some(answer) = flight.tells(now, None) else {
             return;
         };
-        if self.releases.stalled(&answer) {
+        if self.releases.record_stall(&answer) {
             warn_of(&answer, "stalled");
         }
     }
@@ -121,7 +121,7 @@
             return;
         }
         let events = u64::from(flight.parts);
-        if self.releases.paced(&answer, events, now.since(first)) {
+        if self.releases.record_pace(&answer, events, now.since(first)) {
             warn_of(&answer, "pace");
         }
     }
--- a/crates/core/src/entry/routed/mod.rs
+++ b/crates/core/src/entry/routed/mod.rs
@@ -174,9 +174,9 @@
         self.peers.heard(link, now);
         self.peers.joined(link, now);
         // Once for a pool: of 3,000 upstreams that join together each would look at all others.
-        if !self.releases.is_settled(&member.pool) {
+        if !self.releases.has_baseline(&member.pool) {
             let present = self.peers.present(&member.pool);
-            self.releases.settle(&member.pool, &present);
+            self.releases.set_baseline(&member.pool, &present);
         }
     }
 
@@ -219,12 +219,12 @@
 
     /// Returns what other entries are to be told of moves.
     pub fn move_reports(&mut self) -> Vec<(PoolId, release::Report)> {
-        self.releases.reports()
+        self.releases.take_reports()
     }
 
     /// Returns what the move of a pool to another release is judged by.
-    pub fn move_grounds(&self, pool: &PoolId) -> release::Grounds {
-        self.releases.grounds(pool)
+    pub fn move_grounds(&self, pool: &PoolId) -> release::Totals {
+        self.releases.totals(pool)
     }
 
     /// Returns what ought to be recorded about moves to other releases.
@@ -244,10 +244,10 @@
             release: self.version()?,
             upstream: self.upstream.as_ref()?,
             kind: (&terms.name, terms.size),
-            work: terms.outlook.first(),
+            expected: terms.outlook.first(),
             sent: terms.sent,
             seen: now,
-            first,
+            ttft: first,
         })
     }
 
--- a/crates/core/src/entry/routed/reply.rs
+++ b/crates/core/src/entry/routed/reply.rs
@@ -1,7 +1,7 @@
 //! What is done with what an upstream answers to a routed request.
 
 use super::*;
-use crate::release::LIFE;
+use crate::release::SESSION_TTL;
 use crate::tree::Repeat;
 
 /// What part of its worth an answer earns that begins after its objective: 0.3 on all
@@ -299,7 +299,7 @@
             self.peers.succeeded(link);
         }
         self.note_answered(now, &flight);
-        self.note_stay(now, &flight, LIFE);
+        self.note_stay(now, &flight, SESSION_TTL);
         out.push(Output::Answer(run.request, Part::End));
         out.push(Output::Ended(answer::done(&flight, now, None)));
     }
--- a/crates/core/src/entry/routed/send.rs
+++ b/crates/core/src/entry/routed/send.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::pick::{self, Chosen, Near, Peer};
-use crate::release::{Few, Stay, LIFE};
+use crate::release::{Canary, Affinity, SESSION_TTL};
 use crate::wire::Order;
 
 /// The reading from which on other entries are told of it: it reaches them after some
@@ -12,7 +12,7 @@
 impl Entry {
     /// Chooses pool and release for a routed request, and the few upstreams to which
     /// a release on trial is held.
-    fn choose_routed(&mut self, now: Time, flight: &mut Flight) -> Result<Option<Few>, Failure> {
+    fn choose_routed(&mut self, now: Time, flight: &mut Flight) -> Result<Option<Canary>, Failure> {
         let Some(terms) = &flight.terms else {
             return Ok(None);
         };
@@ -30,12 +30,12 @@
             .choose(&flight.pool, session, draw, now, &present);
         let few = release
             .as_ref()
-            .and_then(|release| self.releases.few(&flight.pool, release, now, &present));
+            .and_then(|release| self.releases.canary(&flight.pool, release, now, &present));
         flight.choice = release.map(|version| Choice {
             version,
             why: Why::Split,
         });
-        self.note_stay(now, flight, flight.deadline.since(now) + LIFE);
+        self.note_stay(now, flight, flight.deadline.since(now) + SESSION_TTL);
         Ok(few)
     }
 
@@ -44,13 +44,13 @@
     pub(in crate::entry) fn note_stay(&mut self, now: Time, flight: &Flight, left: Span) {
         let session = flight.routed().and_then(|r| r.session);
         if let (Some(session), Some(release)) = (session, flight.version()) {
-            let stay = Stay {
+            let stay = Affinity {
                 pool: flight.pool.clone(),
                 release: release.clone(),
                 session,
                 left,
             };
-            self.releases.keep(stay, now);
+            self.releases.set_affinity(stay, now);
         }
     }
 
--- a/crates/core/src/era/mod.rs
+++ b/crates/core/src/era/mod.rs
@@ -5,30 +5,30 @@
 //! tables are read whole then, and of each row that differs it is decided what holds meanwhile.
 //!
 //! ```
-//! use sorreldeck::era::{Copied, Era, Eras, Fate, Heard, Kind, Known, Past, Seen, Stamp, Standing, Was};
+//! use sorreldeck::era::{Backup, Comparison, Era, Freshness, History, Kind, Local, Prior, Resolution, RowState, Stamp, Tracker};
 //! use sorreldeck::Time;
 //!
-//! let mut eras = Eras::default();
-//! assert_eq!(eras.hear(Some(Era(4)), false, Time(0), Time(5)), Heard::Current);
-//! let restored = eras.hear(Some(Era(5)), false, Time(10), Time(15));
-//! assert_eq!(restored, Heard::Restored { before: Era(4) });
-//! assert_eq!(eras.hear(Some(Era(4)), false, Time(9), Time(16)), Heard::Late);
+//! let mut tracker = Tracker::default();
+//! assert_eq!(tracker.observe(Some(Era(4)), false, Time(0), Time(5)), Freshness::Current);
+//! let restored = tracker.observe(Some(Era(5)), false, Time(10), Time(15));
+//! assert_eq!(restored, Freshness::Restored { before: Era(4) });
+//! assert_eq!(tracker.observe(Some(Era(4)), false, Time(9), Time(16)), Freshness::Stale);
 //! assert!(Stamp::new(Era(5), 27) > Stamp::new(Era(4), 31));
 //!
-//! let row = |version, value| Seen { key: "evacuate/a", version, value };
-//! let mut past = Past::default();
-//! past.note(row(20, b"{}"));
-//! let standing = Standing::of(Some(row(20, b"{}")), Was::Dropped, &past, &Copied::default(), 31);
-//! assert_eq!(standing, Standing::Outdated);
+//! let row = |version, value| RowState { key: "evacuate/a", version, value };
+//! let mut history = History::default();
+//! history.insert(row(20, b"{}"));
+//! let comparison = Comparison::of(Some(row(20, b"{}")), Prior::Deleted, &history, &Backup::default(), 31);
+//! assert_eq!(comparison, Comparison::Outdated);
 //! // The operator had taken the order back, so it does not hold again.
-//! assert!(matches!(Fate::of(Kind::Order, standing, Known::Gone), Fate::Keep(Some(_))));
+//! assert!(matches!(Resolution::of(Kind::Order, comparison, Local::Absent), Resolution::Retain(Some(_))));
 //! ```
 
-mod heard;
-mod kept;
+mod tracker;
+mod reconcile;
 
-pub use heard::{Eras, Heard};
-pub use kept::{Copied, Fate, Kind, Known, Past, Seen, Standing, Was};
+pub use tracker::{Tracker, Freshness};
+pub use reconcile::{Backup, Resolution, Kind, Local, History, RowState, Comparison, Prior};
 
 use crate::error::{Category, Error, Result};
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/era/kept.rs
+++ b/crates/core/src/era/reconcile.rs
@@ -25,18 +25,18 @@
 
 /// What a row was when it was heard of last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Was<'a> {
+pub enum Prior<'a> {
     /// Nothing, ever.
     Unknown,
     /// That it was there, and is not any more.
-    Dropped,
+    Deleted,
     /// What it holds.
-    Seen(Seen<'a>),
+    Present(RowState<'a>),
 }
 
 /// A row as it stood at a version of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen<'a> {
+pub struct RowState<'a> {
     /// The key.
     pub key: &'a str,
     /// The version.
@@ -45,7 +45,7 @@
     pub value: &'a [u8],
 }
 
-impl Seen<'_> {
+impl RowState<'_> {
     fn digest(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.version.to_be_bytes());
@@ -58,14 +58,14 @@
 
 /// The former states of rows, the latest of them.
 #[derive(Clone, Debug, Default)]
-pub struct Past {
+pub struct History {
     known: BTreeSet<u64>,
     order: VecDeque<u64>,
 }
 
-impl Past {
+impl History {
     /// Notes a state that another one has replaced.
-    pub fn note(&mut self, row: Seen) {
+    pub fn insert(&mut self, row: RowState) {
         let digest = row.digest();
         if !self.known.insert(digest) {
             return;
@@ -79,76 +79,76 @@
     }
 
     /// Returns whether a row stood so before.
-    pub fn holds(&self, row: Seen) -> bool {
+    pub fn contains(&self, row: RowState) -> bool {
         self.known.contains(&row.digest())
     }
 }
 
 /// What was surely in the copy from which the store came back.
 #[derive(Clone, Debug, Default)]
-pub struct Copied {
+pub struct Backup {
     /// The version up to which changes were copied.
     version: u64,
 }
 
-impl Copied {
+impl Backup {
     /// Returns what follows from the versions of rows that are as they were known.
-    pub fn of(unchanged: impl IntoIterator<Item = u64>) -> Copied {
+    pub fn estimate(unchanged: impl IntoIterator<Item = u64>) -> Backup {
         let mut versions: Vec<u64> = unchanged.into_iter().collect();
         versions.sort_unstable();
         let version = versions.iter().rev().nth(UNCHANGED - 1);
-        Copied {
+        Backup {
             version: version.copied().unwrap_or(0),
         }
     }
 
     /// Returns whether a change that was made before the copy would be in it.
-    pub fn holds(&self, version: u64) -> bool {
+    pub fn contains(&self, version: u64) -> bool {
         version <= self.version
     }
 }
 
 /// What the store holds of a row after it came back, against what was known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Comparison {
     /// What was known.
     Same,
     /// Nothing, though it was copied: it was dropped since the store is back.
-    Dropped,
+    Deleted,
     /// Nothing.
     Missing,
     /// What was known before the latest change, which is lost.
     Outdated,
     /// Something else under a version that was given out before: a state between two that were
     /// heard of, or one that was written since the store is back.
-    Unsure,
+    Ambiguous,
     /// Something that was not known.
-    Written,
+    New,
 }
 
-impl Standing {
+impl Comparison {
     /// Compares a row of the store with what was known of it, and before; `newest` is the version
     /// up to which the table was known.
     pub fn of(
-        stored: Option<Seen>,
-        known: Was,
-        past: &Past,
-        copied: &Copied,
+        stored: Option<RowState>,
+        known: Prior,
+        past: &History,
+        copied: &Backup,
         newest: u64,
-    ) -> Standing {
+    ) -> Comparison {
         let Some(stored) = stored else {
             return match known {
-                Was::Seen(known) if copied.holds(known.version) => Standing::Dropped,
-                _ => Standing::Missing,
+                Prior::Present(known) if copied.contains(known.version) => Comparison::Deleted,
+                _ => Comparison::Missing,
             };
         };
-        let is_reused = known != Was::Unknown && stored.version <= newest;
+        let is_reused = known != Prior::Unknown && stored.version <= newest;
         match known {
-            Was::Seen(known) if known == stored => Standing::Same,
-            _ if past.holds(stored) => Standing::Outdated,
-            _ if is_reused && copied.holds(stored.version) => Standing::Outdated,
-            _ if is_reused => Standing::Unsure,
-            _ => Standing::Written,
+            Prior::Present(known) if known == stored => Comparison::Same,
+            _ if past.contains(stored) => Comparison::Outdated,
+            _ if is_reused && copied.contains(stored.version) => Comparison::Outdated,
+            _ if is_reused => Comparison::Ambiguous,
+            _ => Comparison::New,
         }
     }
 }
@@ -168,41 +168,41 @@
 
 /// What was known of a row, as it bears on what the store holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum Local {
     /// That it is not there.
-    Gone,
+    Absent,
     /// Its value.
     Present,
     /// A value that is later than the one in the store by its own account: a higher revision, or
     /// that the same start of an upstream leaves.
-    Later,
+    Newer,
 }
 
 /// What becomes of what was known of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Resolution {
     /// The row in the store takes its place.
-    Take,
+    Replace,
     /// It holds until the row is written again, or for so long.
-    Keep(Option<Span>),
+    Retain(Option<Span>),
 }
 
-impl Fate {
+impl Resolution {
     /// Decides what becomes of what was known of a row.
-    pub fn of(kind: Kind, standing: Standing, known: Known) -> Fate {
+    pub fn of(kind: Kind, standing: Comparison, known: Local) -> Resolution {
         match (kind, standing, known) {
-            (_, Standing::Same, _) | (_, Standing::Missing, Known::Gone) => Fate::Take,
-            (Kind::Configuration, Standing::Missing, _) => Fate::Keep(None),
-            (Kind::Configuration | Kind::Upstream, _, Known::Later) => Fate::Keep(None),
-            (Kind::Configuration, ..) => Fate::Take,
-            (Kind::Order, Standing::Missing | Standing::Outdated, _) => Fate::Keep(Some(ORDER)),
-            (Kind::Order | Kind::Record, Standing::Unsure, _) => Fate::Keep(Some(UNSURE)),
-            (Kind::Upstream, Standing::Missing, _) => Fate::Keep(Some(RETURN)),
-            (Kind::Upstream, Standing::Outdated | Standing::Unsure, Known::Gone) => {
-                Fate::Keep(Some(LEASE))
+            (_, Comparison::Same, _) | (_, Comparison::Missing, Local::Absent) => Resolution::Replace,
+            (Kind::Configuration, Comparison::Missing, _) => Resolution::Retain(None),
+            (Kind::Configuration | Kind::Upstream, _, Local::Newer) => Resolution::Retain(None),
+            (Kind::Configuration, ..) => Resolution::Replace,
+            (Kind::Order, Comparison::Missing | Comparison::Outdated, _) => Resolution::Retain(Some(ORDER)),
+            (Kind::Order | Kind::Record, Comparison::Ambiguous, _) => Resolution::Retain(Some(UNSURE)),
+            (Kind::Upstream, Comparison::Missing, _) => Resolution::Retain(Some(RETURN)),
+            (Kind::Upstream, Comparison::Outdated | Comparison::Ambiguous, Local::Absent) => {
+                Resolution::Retain(Some(LEASE))
             }
-            (Kind::Record, Standing::Missing | Standing::Outdated, _) => Fate::Keep(None),
-            _ => Fate::Take,
+            (Kind::Record, Comparison::Missing | Comparison::Outdated, _) => Resolution::Retain(None),
+            _ => Resolution::Replace,
         }
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod entry;
 pub mod era;
 pub mod evidence;
-pub mod follow;
+pub mod replication;
 pub mod halls;
 pub mod header;
 pub mod lease;
--- a/crates/core/src/notice/mod.rs
+++ b/crates/core/src/notice/mod.rs
@@ -6,22 +6,22 @@
 //! [`Peers`](crate::pick::Peers), which gives out all work, asks here.
 //!
 //! ```
-//! use sorreldeck::notice::{Board, Notice};
+//! use sorreldeck::notice::{Notice, Registry};
 //! use sorreldeck::warmup::Entries;
 //! use sorreldeck::{Rate, Span, Time};
 //!
 //! let entries = Entries::default();
 //! let notice = Notice { limit: Some(Rate::from_per_second(0.5)), ..Notice::default() };
-//! let mut board = Board::default();
-//! board.hear(7, notice, Time(0), &entries, Time(0));
-//! assert_eq!(board.opens(7), Time(1_500_000));
+//! let mut registry = Registry::default();
+//! registry.observe(7, notice, Time(0), &entries, Time(0));
+//! assert_eq!(registry.available_at(7), Time(1_500_000));
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
-mod board;
+mod registry;
 mod limit;
 
-pub use board::Board;
+pub use registry::Registry;
 
 use crate::pick::Pace;
 use crate::unit::{Rate, Span};
@@ -33,7 +33,7 @@
     /// Whether it takes no new requests any more.
     pub leaving: bool,
     /// For how long it wants no requests of the entry that it answers.
-    pub rest: Option<Span>,
+    pub pause: Option<Span>,
     /// The requests that it takes of all entries together.
     pub limit: Option<Rate>,
     /// How long work takes there at the moment.
@@ -46,7 +46,8 @@
     /// It takes no new requests any more.
     Leaving,
     /// It wants no requests for this long of the entry that it has answered.
-    Resting(Span),
+    #[serde(rename = "Resting")]
+    Paused(Span),
     /// It takes only so many requests a second from all entries.
     Limited(Rate),
     /// It takes what it gets again.
@@ -55,7 +56,7 @@
 
 /// What entries tell one another of an upstream, which a number stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Update {
     /// The number of the upstream.
     pub upstream: u64,
     /// What has changed.
--- a/crates/core/src/notice/board.rs
+++ b/crates/core/src/notice/registry.rs
@@ -1,7 +1,7 @@
 //! What all upstreams have said of themselves, and what holds of it.
 
 use super::limit::Limit;
-use super::{Change, Notice, Word};
+use super::{Change, Notice, Update};
 use crate::unit::{Rate, Span, Time};
 use crate::warmup::Entries;
 use std::collections::HashMap;
@@ -25,14 +25,14 @@
 /// An upstream is known by a number that stands for one start of it, so what was heard outlasts
 /// its row in the platform's store, and does not outlast the upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Registry {
     known: HashMap<u64, Known>,
-    words: Vec<Word>,
+    words: Vec<Update>,
 }
 
-impl Board {
+impl Registry {
     /// Takes in what an upstream says in the answer to a request sent then.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         upstream: u64,
         notice: Notice,
@@ -46,17 +46,17 @@
             known.leaving = Some(now);
         }
         let leaving = leaving.then_some(Change::Leaving);
-        let rest = notice.rest.and_then(|rest| known.hear_rest(rest, now));
+        let rest = notice.pause.and_then(|rest| known.hear_rest(rest, now));
         let limit = known.hear_limit(upstream, notice.limit, asked, entries, now);
         let changes: Vec<Change> = [leaving, rest, limit].into_iter().flatten().collect();
         let words = changes.iter().copied();
         self.words
-            .extend(words.map(|change| Word { upstream, change }));
+            .extend(words.map(|change| Update { upstream, change }));
         changes
     }
 
     /// Takes in what another entry tells.
-    pub fn told(&mut self, word: Word, entries: &Entries, now: Time) -> Option<Change> {
+    pub fn merge(&mut self, word: Update, entries: &Entries, now: Time) -> Option<Change> {
         let upstream = word.upstream;
         match word.change {
             Change::Leaving => {
@@ -66,7 +66,7 @@
                 is_news.then_some(Change::Leaving)
             }
             // Each entry is asked for rest by itself.
-            Change::Resting(_) => None,
+            Change::Paused(_) => None,
             Change::Limited(rate) => {
                 let known = self.entry(upstream, now);
                 let Some(limit) = &mut known.limit else {
@@ -85,22 +85,22 @@
     }
 
     /// Returns whether an upstream has said anything of itself.
-    pub fn knows(&self, upstream: u64) -> bool {
+    pub fn contains(&self, upstream: u64) -> bool {
         self.known.contains_key(&upstream)
     }
 
     /// Forgets what an upstream has said.
-    pub fn forget(&mut self, upstream: u64) {
+    pub fn remove(&mut self, upstream: u64) {
         self.known.remove(&upstream);
     }
 
     /// Returns what other entries are to be told.
-    pub fn words(&mut self) -> Vec<Word> {
+    pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.words)
     }
 
     /// Notes a request sent to an upstream.
-    pub fn sent(&mut self, upstream: u64, now: Time) {
+    pub fn record_request(&mut self, upstream: u64, now: Time) {
         let known = self.known.get_mut(&upstream);
         if let Some(limit) = known.and_then(|known| known.limit.as_mut()) {
             limit.sent(now);
@@ -108,7 +108,7 @@
     }
 
     /// Takes in which entries share the rates.
-    pub fn share(&mut self, entries: &Entries, now: Time) {
+    pub fn set_entries(&mut self, entries: &Entries, now: Time) {
         for (upstream, known) in &mut self.known {
             if let Some(limit) = &mut known.limit {
                 limit.share(*upstream, entries, now);
@@ -117,18 +117,18 @@
     }
 
     /// Returns since when an upstream is known to leave, if it does.
-    pub fn leaving(&self, upstream: u64) -> Option<Time> {
+    pub fn leaving_since(&self, upstream: u64) -> Option<Time> {
         self.known.get(&upstream)?.leaving
     }
 
     /// Returns until when an upstream wants no requests of this entry, or a time that has passed.
-    pub fn rests_until(&self, upstream: u64) -> Time {
+    pub fn paused_until(&self, upstream: u64) -> Time {
         let known = self.known.get(&upstream);
         known.map_or(Time::default(), |known| known.rests_until)
     }
 
     /// Returns from when on this entry may send an upstream a request, as far as it has said.
-    pub fn opens(&self, upstream: u64) -> Time {
+    pub fn available_at(&self, upstream: u64) -> Time {
         let Some(known) = self.known.get(&upstream) else {
             return Time::default();
         };
@@ -138,7 +138,7 @@
 
     /// Returns whether the next request is to go to an upstream, wherever else it would go, since
     /// the rate that it named may not hold any more.
-    pub fn wants_trial(&self, upstream: u64, now: Time) -> bool {
+    pub fn wants_probe(&self, upstream: u64, now: Time) -> bool {
         let limit = self.known.get(&upstream).and_then(|known| known.limit);
         limit.is_some_and(|limit| limit.wants_trial(now))
     }
@@ -186,7 +186,7 @@
     fn hear_rest(&mut self, rest: Span, now: Time) -> Option<Change> {
         let was_resting = now < self.rests_until;
         self.rests_until = self.rests_until.max(now + rest);
-        (!was_resting).then_some(Change::Resting(rest))
+        (!was_resting).then_some(Change::Paused(rest))
     }
 
     /// Takes in the rate that an answer to a request sent then names, or that it names none.
--- a/crates/core/src/pick/heard.rs
+++ b/crates/core/src/pick/heard.rs
@@ -3,7 +3,7 @@
 use super::peer::AVOID_MOST;
 use super::{Link, Peer, Peers};
 use crate::id::PoolId;
-use crate::notice::{Change, Notice, Word};
+use crate::notice::{Change, Notice, Update};
 use crate::unit::{Rate, Span, Time};
 
 impl Peers {
@@ -26,19 +26,19 @@
         let number = peer.number();
         let before = self.notices.limit(number);
         let entries = &self.entries;
-        for change in self.notices.hear(number, notice, asked, entries, now) {
+        for change in self.notices.observe(number, notice, asked, entries, now) {
             self.note_change(number, change, before, "answer", now);
         }
     }
 
     /// Takes in what another entry tells of an upstream.
-    pub fn heard_of(&mut self, word: Word, now: Time) {
+    pub fn heard_of(&mut self, word: Update, now: Time) {
         let number = word.upstream;
-        if let Change::Resting(rest) = word.change {
+        if let Change::Paused(rest) = word.change {
             return self.spare(number, rest, now);
         }
         let before = self.notices.limit(number);
-        if let Some(change) = self.notices.told(word, &self.entries, now) {
+        if let Some(change) = self.notices.merge(word, &self.entries, now) {
             self.note_change(number, change, before, "entry", now);
         }
     }
@@ -84,7 +84,7 @@
             Change::Leaving => {
                 log::info!("event=notice upstream={upstream} leaving=true from={from}");
             }
-            Change::Resting(rest) => {
+            Change::Paused(rest) => {
                 let for_ms = rest.millis();
                 log::info!("event=notice upstream={upstream} rest_ms={for_ms} from={from}");
             }
@@ -99,13 +99,13 @@
 
     /// Returns whether an upstream takes no new requests any more, by whatever way that is known.
     pub(super) fn is_leaving(&self, peer: &Peer) -> bool {
-        peer.leaving || (peer.has_spoken && self.notices.leaving(peer.number()).is_some())
+        peer.leaving || (peer.has_spoken && self.notices.leaving_since(peer.number()).is_some())
     }
 
     /// Returns from when on an upstream takes requests of this entry, as far as it has said.
     pub(super) fn opens(&self, peer: &Peer) -> Time {
         match peer.has_spoken {
-            true => self.notices.opens(peer.number()),
+            true => self.notices.available_at(peer.number()),
             false => Time::default(),
         }
     }
@@ -116,38 +116,38 @@
 
     /// Returns whether the next request is to go to an upstream to hear what it says now.
     pub(super) fn wants_trial(&self, peer: &Peer, now: Time) -> bool {
-        peer.has_spoken && self.notices.wants_trial(peer.number(), now)
+        peer.has_spoken && self.notices.wants_probe(peer.number(), now)
     }
 
     /// Returns whether an upstream has asked this entry for rest that has not ended.
     pub fn is_resting(&self, link: Link, now: Time) -> bool {
         let number = self.get(link).map(Peer::number);
-        number.is_some_and(|number| now < self.notices.rests_until(number))
+        number.is_some_and(|number| now < self.notices.paused_until(number))
     }
 
     /// Returns how many upstreams want no requests of this entry for a while.
     pub fn resting(&self, now: Time) -> usize {
-        let resting = |peer: &&Peer| now < self.notices.rests_until(peer.number());
+        let resting = |peer: &&Peer| now < self.notices.paused_until(peer.number());
         self.peers.values().filter(resting).count()
     }
 
     /// Returns how many upstreams have said that they leave.
     pub fn leaving(&self) -> usize {
-        let leaving = |peer: &&Peer| self.notices.leaving(peer.number()).is_some();
+        let leaving = |peer: &&Peer| self.notices.leaving_since(peer.number()).is_some();
         self.peers.values().filter(leaving).count()
     }
 
     /// Forgets what the upstream at a link has said, since it may be another start of it.
     pub fn forget_notices(&mut self, link: Link) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            self.notices.forget(peer.number());
+            self.notices.remove(peer.number());
             peer.has_spoken = false;
         }
     }
 
     /// Returns what other entries are to be told of upstreams.
-    pub fn words(&mut self) -> Vec<Word> {
-        self.notices.words()
+    pub fn words(&mut self) -> Vec<Update> {
+        self.notices.take_updates()
     }
 
     /// Returns how many upstreams take only so many requests a second from all entries.
--- a/crates/core/src/pick/mod.rs
+++ b/crates/core/src/pick/mod.rs
@@ -35,7 +35,7 @@
 use crate::halls::Halls;
 use crate::id::{Hall, Incarnation, PoolId, Region, UpstreamId, VersionId};
 use crate::notice;
-use crate::release::Few;
+use crate::release::Canary;
 use crate::reuse::Scope;
 use crate::subset;
 use crate::tree::Warmup;
@@ -116,7 +116,7 @@
     /// The release that must answer.
     pub release: Option<&'a VersionId>,
     /// Which few of the upstreams that run it may answer, if not all.
-    pub few: Option<Few>,
+    pub few: Option<Canary>,
     /// The regions in which the request may be served, by its route and by its client account.
     pub regions: [Option<&'a BTreeSet<Region>>; 2],
 }
@@ -180,7 +180,7 @@
     halls: Halls,
     warmups: BTreeMap<PoolId, Warmup>,
     entries: Entries,
-    notices: notice::Board,
+    notices: notice::Registry,
     /// The first upstreams that joined, which were there before.
     first: First,
     turn: usize,
@@ -255,7 +255,7 @@
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.sent(tokens, chain, now);
             if peer.has_spoken {
-                self.notices.sent(peer.number(), now);
+                self.notices.record_request(peer.number(), now);
             }
         }
     }
@@ -292,7 +292,7 @@
     pub fn settle(&mut self, link: Link, place: Place) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.settle(place);
-            peer.has_spoken = self.notices.knows(peer.number());
+            peer.has_spoken = self.notices.contains(peer.number());
         }
     }
 
@@ -475,8 +475,8 @@
     }
 
     /// Keeps the links that rank highest for a turn.
-    fn keep_few(&self, links: &mut Vec<Link>, few: Few) {
-        let subject = few.turn.to_string();
+    fn keep_few(&self, links: &mut Vec<Link>, few: Canary) {
+        let subject = few.round.to_string();
         links.sort_by_cached_key(|l| subset::score(&subject, &self.peers[l].upstream));
         links.reverse();
         links.truncate(few.count);
--- a/crates/core/src/pick/warm.rs
+++ b/crates/core/src/pick/warm.rs
@@ -100,7 +100,7 @@
         now: Time,
     ) {
         self.entries = Entries::new(own, others);
-        self.notices.share(&self.entries, now);
+        self.notices.set_entries(&self.entries, now);
     }
 
     /// Notes that an upstream which just joined may have just started. Those that join with
--- a/crates/core/src/pick/work.rs
+++ b/crates/core/src/pick/work.rs
@@ -46,7 +46,7 @@
     pub fn work(&self, link: Link, now: Time) -> Option<Work> {
         let peer = self.get(link)?;
         let number = peer.number();
-        let rests_until = self.notices.rests_until(number);
+        let rests_until = self.notices.paused_until(number);
         let limit = self.notices.limit(number);
         Some(if self.is_leaving(peer) {
             Work::Leaving
@@ -55,7 +55,7 @@
         } else if now < rests_until {
             Work::Resting(rests_until.since(now))
         } else if let Some((rate, _)) = limit {
-            Work::Limited(rate, self.notices.opens(number).since(now))
+            Work::Limited(rate, self.notices.available_at(number).since(now))
         } else if peer.is_cold(now) {
             Work::Cold
         } else if now < peer.avoided {
--- a/crates/core/src/quarantine/hold.rs
+++ b/crates/core/src/quarantine/hold.rs
@@ -25,7 +25,7 @@
     /// Until when.
     pub until: Time,
     /// How often it was held back before; each time lasts longer.
-    pub before: u32,
+    pub previous: u32,
     /// Whether it is this entry's record, so that it is tried here first.
     pub is_own: bool,
 }
@@ -48,7 +48,7 @@
     /// Returns whether a request may get an upstream.
     pub fn admits(&self, fingerprint: Fingerprint, now: Time) -> Admission {
         match self.0.get(&fingerprint) {
-            None => Admission::Free,
+            None => Admission::Allowed,
             Some(hold) if now < hold.lasts() => Admission::Held(hold.lasts().since(now)),
             Some(_) => Admission::Trial,
         }
@@ -69,11 +69,11 @@
     /// Holds a request back from now on.
     pub fn hold(&mut self, fingerprint: Fingerprint, now: Time) -> Hold {
         let known = self.0.get(&fingerprint);
-        let before = known.map_or(0, |hold| hold.before + 1);
+        let before = known.map_or(0, |hold| hold.previous + 1);
         let last = SPANS.len() - 1;
         let hold = Hold {
             until: now + SPANS[last.min(before as usize)],
-            before,
+            previous: before,
             is_own: known.is_some_and(|hold| hold.is_own),
         };
         self.insert(fingerprint, hold, now);
@@ -83,7 +83,7 @@
     /// Takes in what is recorded; returns whether that is news.
     pub fn put(&mut self, fingerprint: Fingerprint, hold: Hold, now: Time) -> bool {
         let known = self.0.get(&fingerprint);
-        if known.is_some_and(|known| known.before > hold.before) {
+        if known.is_some_and(|known| known.previous > hold.previous) {
             // What was found out here since then goes on its way to the record.
             return false;
         }
--- a/crates/core/src/quarantine/told.rs
+++ b/crates/core/src/quarantine/journal.rs
@@ -1,6 +1,6 @@
 //! What entries told of requests, kept by whoever passes it on, for entries that start later.
 
-use super::{Word, KEPT};
+use super::{Update, KEPT};
 use crate::unit::Time;
 use std::collections::VecDeque;
 
@@ -9,11 +9,11 @@
 
 /// What was told, the oldest first.
 #[derive(Clone, Debug, Default)]
-pub struct Told(VecDeque<(Time, Word)>);
+pub struct Journal(VecDeque<(Time, Update)>);
 
-impl Told {
+impl Journal {
     /// Notes what an entry tells.
-    pub fn note(&mut self, words: &[Word], now: Time) {
+    pub fn note(&mut self, words: &[Update], now: Time) {
         for word in words {
             if self.0.len() >= MOST {
                 self.0.pop_front();
@@ -23,9 +23,9 @@
     }
 
     /// Returns what an entry that starts now is to be told, in order.
-    pub fn live(&self, now: Time) -> Vec<Word> {
+    pub fn live(&self, now: Time) -> Vec<Update> {
         let live = self.0.iter().filter(|(at, _)| now.since(*at) < KEPT);
-        live.map(|(at, word)| word.clone().later(now.since(*at)))
+        live.map(|(at, word)| word.clone().delayed(now.since(*at)))
             .collect()
     }
 }
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -15,27 +15,27 @@
 //! let mut now = Time(0);
 //! for upstream in 0..3 {
 //!     now = now + Span::from_millis(400);
-//!     quarantine.lost(&Run { fingerprint, pool: &pool, upstream, spread: 0.1 }, now);
+//!     quarantine.record_crash(&Run { fingerprint, pool: &pool, upstream, spread: 0.1 }, now);
 //! }
 //! assert!(matches!(quarantine.admits(fingerprint, now), Admission::Held(_)));
 //!
 //! let other = Fingerprint::of(&[b"POST", b"/drafts/8", b"acme", b"text"]);
-//! assert_eq!(quarantine.admits(other, now), Admission::Free);
+//! assert_eq!(quarantine.admits(other, now), Admission::Allowed);
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
-mod fate;
+mod outcomes;
 mod fingerprint;
 mod hold;
-mod told;
+mod journal;
 
 pub use fingerprint::Fingerprint;
 pub use hold::Hold;
-pub use told::Told;
+pub use journal::Journal;
 
 use crate::id::PoolId;
 use crate::unit::{Span, Time};
-use fate::Fates;
+use outcomes::Fates;
 use hold::Holds;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It may.
-    Free,
+    Allowed,
     /// It was held back, and may be tried by one run at a time.
     Trial,
     /// It is held back for this long.
@@ -91,25 +91,27 @@
 
 /// What entries tell one another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Update {
     /// An upstream went down while these requests were there.
-    Lost {
+    #[serde(rename = "Lost")]
+    Crashed {
         /// The number that stands for it.
         upstream: u64,
         /// How long ago, in milliseconds: so that what entries saw at one moment is known for
         /// one, though it is gathered before it is told.
         ago_ms: u64,
         /// The requests.
-        there: Vec<Fingerprint>,
+        #[serde(rename = "there")]
+        requests: Vec<Fingerprint>,
     },
     /// A request that was a suspect was answered whole.
     Answered(Fingerprint),
 }
 
-impl Word {
+impl Update {
     /// Returns the word as it reads when it is told so much later.
-    pub fn later(mut self, by: Span) -> Word {
-        if let Word::Lost { ago_ms, .. } = &mut self {
+    pub fn delayed(mut self, by: Span) -> Update {
+        if let Update::Crashed { ago_ms, .. } = &mut self {
             *ago_ms = ago_ms.saturating_add(by.millis());
         }
         self
@@ -118,7 +120,7 @@
 
 /// What has changed about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum Change {
     /// It is held back from now on, since it was there when this many upstreams crashed.
     Held(Fingerprint, Hold, usize),
     /// It is not held back any more, since it was answered.
@@ -173,8 +175,8 @@
     crashes: VecDeque<Crash>,
     fates: Fates,
     holds: Holds,
-    untold: Vec<Word>,
-    news: Vec<News>,
+    untold: Vec<Update>,
+    news: Vec<Change>,
 }
 
 impl Quarantine {
@@ -185,35 +187,35 @@
 
     /// Returns whether a request was where an upstream crashed lately, and nothing else explains
     /// it. Suspects are kept apart, so that the next crash tells them from one another.
-    pub fn suspects(&self, fingerprint: Fingerprint, now: Time) -> bool {
-        let lately = |c: &&Crash| now.since(c.at) < fate::LATELY;
+    pub fn is_suspect(&self, fingerprint: Fingerprint, now: Time) -> bool {
+        let lately = |c: &&Crash| now.since(c.at) < outcomes::LATELY;
         let at = |c: &Crash| c.there.contains(&fingerprint) && c.counts(now);
         // Asked for each run under way when one is sent again: no older crash is looked at.
         self.crashes.iter().rev().take_while(lately).any(at)
     }
 
     /// Returns how many requests are held back.
-    pub fn held(&self, now: Time) -> usize {
+    pub fn held_count(&self, now: Time) -> usize {
         self.holds.count(now)
     }
 
     /// Returns of how many runs it is remembered that their upstreams crashed.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_runs(&self) -> usize {
         self.crashes.iter().map(|crash| crash.there.len()).sum()
     }
 
     /// Notes that a run of this entry broke and its upstream is gone.
-    pub fn lost(&mut self, run: &Run, now: Time) {
+    pub fn record_crash(&mut self, run: &Run, now: Time) {
         let crash = self.crash(run.upstream, now);
         let own = crash.own.get_or_insert_with(|| (run.pool.clone(), 0));
         own.1 += 1;
         if self.fates.was_answered(run.fingerprint, now) {
             return;
         }
-        self.tell(Word::Lost {
+        self.tell(Update::Crashed {
             upstream: run.upstream,
             ago_ms: 0,
-            there: vec![run.fingerprint],
+            requests: vec![run.fingerprint],
         });
         let sight = Sight {
             fingerprint: run.fingerprint,
@@ -227,28 +229,28 @@
 
     /// Notes that a request was answered whole to this entry. Whatever crashes each upstream
     /// that runs it never is.
-    pub fn answered(&mut self, fingerprint: Fingerprint, pool: &PoolId, now: Time) {
+    pub fn record_answer(&mut self, fingerprint: Fingerprint, pool: &PoolId, now: Time) {
         self.fates.answered(fingerprint, pool, now);
         if self.acquit(fingerprint) {
-            self.tell(Word::Answered(fingerprint));
+            self.tell(Update::Answered(fingerprint));
         }
     }
 
     /// Takes in what another entry tells; `spread` says at which share of its pool's upstreams
     /// a request is.
-    pub fn told(&mut self, word: Word, now: Time, spread: impl Fn(Fingerprint) -> f64) {
+    pub fn merge(&mut self, word: Update, now: Time, spread: impl Fn(Fingerprint) -> f64) {
         match word {
-            Word::Lost {
+            Update::Crashed {
                 upstream,
                 ago_ms,
-                there,
+                requests: there,
             } => {
                 let ago = Span::from_millis(ago_ms.min(KEPT.millis()));
                 let at = Time(now.0.saturating_sub(ago.micros()));
                 for fingerprint in there {
                     if self.fates.was_answered(fingerprint, now) {
                         // The others go by crashes alone and have to know better.
-                        self.tell(Word::Answered(fingerprint));
+                        self.tell(Update::Answered(fingerprint));
                         continue;
                     }
                     let sight = Sight {
@@ -261,7 +263,7 @@
                     self.suspect(&sight, now);
                 }
             }
-            Word::Answered(fingerprint) => {
+            Update::Answered(fingerprint) => {
                 self.fates.told_answered(fingerprint, now);
                 self.acquit(fingerprint);
             }
@@ -269,30 +271,30 @@
     }
 
     /// Takes in that a request is held back, as it was recorded.
-    pub fn recorded(&mut self, fingerprint: Fingerprint, hold: Hold, now: Time) {
+    pub fn restore_hold(&mut self, fingerprint: Fingerprint, hold: Hold, now: Time) {
         if self.fates.was_answered(fingerprint, now) {
             // It was recorded before that was known there.
-            self.news.push(News::Freed(fingerprint));
+            self.news.push(Change::Freed(fingerprint));
             return;
         }
         if self.holds.put(fingerprint, hold, now) {
             self.explain(fingerprint, now);
-            self.news.push(News::Held(fingerprint, hold, 0));
+            self.news.push(Change::Held(fingerprint, hold, 0));
         }
     }
 
     /// Takes in that the record of a request is gone.
-    pub fn forgotten(&mut self, fingerprint: Fingerprint) {
+    pub fn remove_hold(&mut self, fingerprint: Fingerprint) {
         self.holds.remove(fingerprint);
     }
 
     /// Returns what other entries are to be told since the last call.
-    pub fn words(&mut self) -> Vec<Word> {
+    pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.untold)
     }
 
     /// Returns what has changed since the last call.
-    pub fn news(&mut self) -> Vec<News> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.news)
     }
 
@@ -327,7 +329,7 @@
                 return self.hold(fingerprint, 1, now);
             }
             Admission::Trial => return,
-            Admission::Free => {}
+            Admission::Allowed => {}
         }
         let crashes = self.count(fingerprint, now);
         if crashes < CRASHES {
@@ -366,7 +368,7 @@
     /// crash upstreams must not hide one another, each by what ran beside the others.
     fn chance(&self, fingerprint: Fingerprint, pool: &PoolId, now: Time) -> f64 {
         let elsewhere = |c: &&Crash| {
-            let lately = now.since(c.at) < fate::LATELY;
+            let lately = now.since(c.at) < outcomes::LATELY;
             lately && c.explained.is_none() && !c.there.contains(&fingerprint)
         };
         let elsewhere: Vec<&Crash> = self.crashes.iter().filter(elsewhere).collect();
@@ -384,7 +386,7 @@
     fn hold(&mut self, fingerprint: Fingerprint, crashes: usize, now: Time) {
         let hold = self.holds.hold(fingerprint, now);
         self.explain(fingerprint, now);
-        self.news.push(News::Held(fingerprint, hold, crashes));
+        self.news.push(Change::Held(fingerprint, hold, crashes));
     }
 
     /// Puts the crashes that a request was at down to it.
@@ -403,19 +405,19 @@
         }
         let was_held = self.holds.remove(fingerprint);
         if was_held {
-            self.news.push(News::Freed(fingerprint));
+            self.news.push(Change::Freed(fingerprint));
         }
         was_suspect || was_held
     }
 
-    fn tell(&mut self, word: Word) {
+    fn tell(&mut self, word: Update) {
         if let (
-            Word::Lost {
-                upstream, there, ..
+            Update::Crashed {
+                upstream, requests: there, ..
             },
-            Some(Word::Lost {
+            Some(Update::Crashed {
                 upstream: last,
-                there: known,
+                requests: known,
                 ..
             }),
         ) = (&word, self.untold.last_mut())
--- a/crates/core/src/release/mod.rs
+++ b/crates/core/src/release/mod.rs
@@ -20,8 +20,8 @@
 //! let (old, new) = ("v1".parse()?, "v2".parse()?);
 //! let mut releases = Releases::default();
 //! let pool: sorreldeck::PoolId = "assistant".parse()?;
-//! let order = Order { pool: pool.clone(), to: new, duration: Span::from_millis(24_000), number: 7.into() };
-//! releases.order(order, Some(State::Running), Some(Time(0)));
+//! let order = Order { pool: pool.clone(), to: new, duration: Span::from_millis(24_000), issued: 7.into() };
+//! releases.set_order(order, Some(State::Running), Some(Time(0)));
 //! let present = [(&old, 3)].into_iter().collect();
 //! assert_eq!(releases.choose(&pool, None, 0.99, Time(1), &present), Some(old.clone()));
 //! # Ok::<(), sorreldeck::Error>(())
@@ -32,7 +32,7 @@
 mod sessions;
 mod tally;
 
-pub use sessions::{Stay, LIFE};
+pub use sessions::{Affinity, SESSION_TTL};
 
 use crate::era::{Era, Stamp};
 use crate::id::{Hall, PoolId, RouteId, UpstreamId, VersionId};
@@ -46,7 +46,7 @@
 
 /// The share of a pool's requests that an unproven release may get over the time
 /// given, where the settings name none: that of both sites.
-pub const EXPOSURE: Share = Share::percent(15);
+pub const DEFAULT_EXPOSURE: Share = Share::percent(15);
 /// How many times the usual time between events makes a stream count as slow: a
 /// release that is eight times slower made events 2.6 times as far apart.
 const PACE_TIMES: f64 = 1.8;
@@ -73,7 +73,7 @@
     /// The time given.
     pub duration: Span,
     /// When the order was first written; a later order has a later one.
-    pub number: Stamp,
+    pub issued: Stamp,
 }
 
 /// What an answer tells about the release that gave it.
@@ -90,13 +90,13 @@
     /// The time that its beginning ought to take: what is read and what waits differ
     /// from one answer to the next, so that the same time may be slow for one and
     /// usual for another.
-    pub work: Span,
+    pub expected: Span,
     /// When it was asked for.
     pub sent: Time,
     /// When this was seen of it.
     pub seen: Time,
     /// The time to its beginning, or `None` if it failed.
-    pub first: Option<Span>,
+    pub ttft: Option<Span>,
 }
 
 /// What one or several entries tell the others of a move.
@@ -140,12 +140,12 @@
 /// What a move is judged by: how many answers of both releases all entries saw while they were
 /// compared, and how many of them failed and were slow.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Grounds {
+pub struct Totals {
     old: Tally,
     new: Tally,
 }
 
-impl fmt::Display for Grounds {
+impl fmt::Display for Totals {
     /// Writes `old=answers/failed/slow new=answers/failed/slow`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "old={} new={}", self.old, self.new)
@@ -154,11 +154,11 @@
 
 /// Few upstreams of all that run a release on trial, the same at every entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Few {
+pub struct Canary {
     /// How many.
     pub count: usize,
     /// Which choice of them it is: each stage has others.
-    pub turn: u64,
+    pub round: u64,
 }
 
 /// Which release of each pool answers.
@@ -174,7 +174,7 @@
 
 impl Default for Releases {
     fn default() -> Self {
-        Releases::new(EXPOSURE)
+        Releases::new(DEFAULT_EXPOSURE)
     }
 }
 
@@ -194,9 +194,9 @@
 
     /// Takes in an order and what was recorded of it, with the time at which
     /// the first record was made, on this process's clock.
-    pub fn order(&mut self, order: Order, state: Option<State>, began: Option<Time>) {
+    pub fn set_order(&mut self, order: Order, state: Option<State>, began: Option<Time>) {
         let known = self.moves.get(&order.pool);
-        if known.is_some_and(|m| m.order.number > order.number) {
+        if known.is_some_and(|m| m.order.issued > order.issued) {
             return;
         }
         let pool = order.pool.clone();
@@ -220,8 +220,8 @@
     /// Notes the releases present when a pool is first seen: all but one that
     /// is being moved to are taken for sound. Releases that come later without
     /// an order get work only where nothing else is left.
-    pub fn settle<'a>(&mut self, pool: &PoolId, present: impl IntoIterator<Item = &'a VersionId>) {
-        if self.is_settled(pool) {
+    pub fn set_baseline<'a>(&mut self, pool: &PoolId, present: impl IntoIterator<Item = &'a VersionId>) {
+        if self.has_baseline(pool) {
             return;
         }
         let to = self.moves.get(pool).map(|m| &m.order.to);
@@ -230,7 +230,7 @@
     }
 
     /// Returns whether it is known which releases of a pool are sound.
-    pub fn is_settled(&self, pool: &PoolId) -> bool {
+    pub fn has_baseline(&self, pool: &PoolId) -> bool {
         let known = self.settled.get(pool);
         known.is_some_and(|known| !known.is_empty())
     }
@@ -292,13 +292,13 @@
     }
 
     /// Returns the few upstreams that a release on trial runs on.
-    pub fn few(
+    pub fn canary(
         &self,
         pool: &PoolId,
         release: &VersionId,
         now: Time,
         present: &BTreeMap<&VersionId, usize>,
-    ) -> Option<Few> {
+    ) -> Option<Canary> {
         let moving = self.moves.get(pool)?;
         let on_trial = moving.order.to == *release;
         on_trial.then(|| moving.few(now, present)).flatten()
@@ -306,7 +306,7 @@
 
     /// Takes in how far apart the events of a whole stream were; returns whether
     /// its release has just been found bad.
-    pub fn paced(&mut self, answer: &Answer, events: u64, span: Span) -> bool {
+    pub fn record_pace(&mut self, answer: &Answer, events: u64, span: Span) -> bool {
         if events < PACED {
             return false;
         }
@@ -335,7 +335,7 @@
     /// A stream that is left has no pace, so without this a release whose events are far
     /// apart took the evidence against it away: on calcne-recife half of the streams of a
     /// slow release on trial were left.
-    pub fn stalled(&mut self, answer: &Answer) -> bool {
+    pub fn record_stall(&mut self, answer: &Answer) -> bool {
         let Some(moving) = self.moves.get_mut(answer.pool) else {
             return false;
         };
@@ -347,7 +347,7 @@
     }
 
     /// Notes that a request of a session is at a release.
-    pub fn keep(&mut self, stay: Stay, now: Time) {
+    pub fn set_affinity(&mut self, stay: Affinity, now: Time) {
         let moving = self.moves.get(&stay.pool);
         if moving.is_some_and(|m| m.draws(unit(stay.session), &stay.release)) {
             self.sessions.tell(stay.session);
@@ -357,13 +357,13 @@
 
     /// Returns the sessions that other entries are to be told of: they stay at their release
     /// though all entries draw them for the one on trial.
-    pub fn stays(&mut self, now: Time) -> Vec<Stay> {
+    pub fn take_affinities(&mut self, now: Time) -> Vec<Affinity> {
         self.sessions.stays(now)
     }
 
     /// Takes in that another entry serves a session at a release. One that this entry has sent
     /// to the release on trial meanwhile stays there.
-    pub fn stayed(&mut self, stay: Stay, now: Time) {
+    pub fn merge_affinity(&mut self, stay: Affinity, now: Time) {
         let to = self.moves.get(&stay.pool).map(|m| &m.order.to);
         let known = self.sessions.get(stay.session, now);
         if known.is_some_and(|k| Some(&k.release) == to) {
@@ -374,14 +374,14 @@
 
     /// Takes in what an answer tells; returns whether its release has just been
     /// found bad.
-    pub fn learn(&mut self, answer: &Answer) -> bool {
+    pub fn record_answer(&mut self, answer: &Answer) -> bool {
         let slow = self.is_slow(answer);
         let Some(moving) = self.moves.get_mut(answer.pool) else {
             self.note_usual(answer);
             return false;
         };
         if moving.order.to != *answer.release {
-            moving.old.note(answer.first.is_none(), slow);
+            moving.old.note(answer.ttft.is_none(), slow);
             self.note_usual(answer);
             return false;
         }
@@ -389,24 +389,24 @@
             return false;
         }
         let slow = slow && moving.tells_slowness(answer.sent);
-        moving.new.note(answer.first.is_none(), slow);
-        moving.learn(answer.upstream, answer.first.is_none() || slow)
+        moving.new.note(answer.ttft.is_none(), slow);
+        moving.learn(answer.upstream, answer.ttft.is_none() || slow)
     }
 
     /// Returns whether an answer took far longer to begin than is usual for its work.
     pub fn is_slow(&self, answer: &Answer) -> bool {
         let kind = (answer.kind.0.clone(), answer.kind.1);
-        let known = answer.first.zip(self.usual.get(&kind));
-        known.is_some_and(|(first, usual)| usual.is_slow(first, answer.work))
+        let known = answer.ttft.zip(self.usual.get(&kind));
+        known.is_some_and(|(first, usual)| usual.is_slow(first, answer.expected))
     }
 
     fn note_usual(&mut self, answer: &Answer) {
-        let Some(first) = answer.first else {
+        let Some(first) = answer.ttft else {
             return;
         };
         let kind = (answer.kind.0.clone(), answer.kind.1);
         let usual = self.usual.entry(kind).or_default();
-        usual.note(tally::by_work(first, answer.work));
+        usual.note(tally::by_work(first, answer.expected));
     }
 
     /// Returns what ought to be recorded of each move, where it is not recorded
@@ -428,7 +428,7 @@
 
     /// Returns what other entries are to be told: of each move on whose sides something
     /// was answered here since the last time.
-    pub fn reports(&mut self) -> Vec<(PoolId, Report)> {
+    pub fn take_reports(&mut self) -> Vec<(PoolId, Report)> {
         let moves = self.moves.iter_mut();
         moves
             .filter_map(|(pool, moving)| Some((pool.clone(), moving.report()?)))
@@ -437,11 +437,11 @@
 
     /// Takes in what the other entries of a data hall tell; returns whether the release has
     /// just been found bad.
-    pub fn told(&mut self, pool: &PoolId, hall: Hall, report: Report) -> bool {
+    pub fn merge(&mut self, pool: &PoolId, hall: Hall, report: Report) -> bool {
         let Some(moving) = self.moves.get_mut(pool) else {
             return false;
         };
-        if report.order() != moving.order.number || moving.state == Some(State::Completed) {
+        if report.order() != moving.order.issued || moving.state == Some(State::Completed) {
             return false;
         }
         let known = moving.others.get(&hall);
@@ -453,13 +453,13 @@
     }
 
     /// Returns what the move of a pool is judged by.
-    pub fn grounds(&self, pool: &PoolId) -> Grounds {
+    pub fn totals(&self, pool: &PoolId) -> Totals {
         let moving = self.moves.get(pool);
-        moving.map_or(Grounds::default(), Move::grounds)
+        moving.map_or(Totals::default(), Move::grounds)
     }
 
     /// Returns whether the releases of a pool are compared.
-    pub fn compares(&self, pool: &PoolId) -> bool {
+    pub fn is_comparing(&self, pool: &PoolId) -> bool {
         let moving = self.moves.get(pool);
         moving.is_some_and(|m| m.state == Some(State::Running) && !m.bad)
     }
--- a/crates/core/src/release/moving.rs
+++ b/crates/core/src/release/moving.rs
@@ -2,7 +2,7 @@
 
 use super::schedule::{Schedule, Stage};
 use super::tally::{chance_of, Tally};
-use super::{Answer, Few, Grounds, Order, Report, State};
+use super::{Answer, Canary, Totals, Order, Report, State};
 use crate::evidence::{Bar, Detector, Evidence};
 use crate::id::{Hall, UpstreamId, VersionId};
 use crate::unit::{Share, Span, Time};
@@ -221,7 +221,7 @@
 
     /// Returns the few upstreams that a trial runs on, so that they work under the
     /// load that all will have.
-    pub fn few(&self, now: Time, present: &BTreeMap<&VersionId, usize>) -> Option<Few> {
+    pub fn few(&self, now: Time, present: &BTreeMap<&VersionId, usize>) -> Option<Canary> {
         let Phase::Trial(stage) = self.phase(now) else {
             return None;
         };
@@ -232,9 +232,9 @@
             Stage::Loaded => (usual / STRESS) as usize,
             _ => (usual.round() as usize).max(FAILING_UPSTREAMS),
         };
-        Some(Few {
+        Some(Canary {
             count: count.max(1),
-            turn: stage as u64,
+            round: stage as u64,
         })
     }
 
@@ -322,8 +322,8 @@
         let news = answers > self.told && self.state == Some(State::Running);
         self.told = answers;
         news.then(|| Report {
-            number: self.order.number.version,
-            era: self.order.number.era,
+            number: self.order.issued.version,
+            era: self.order.issued.era,
             old: self.old,
             new: self.new,
             failing: self.failing.clone(),
@@ -331,20 +331,20 @@
     }
 
     /// Returns what all entries saw of both releases.
-    pub fn grounds(&self) -> Grounds {
+    pub fn grounds(&self) -> Totals {
         let (mut old, mut new) = (self.old, self.new);
         for report in self.others.values() {
             old.add(&report.old);
             new.add(&report.new);
         }
-        Grounds { old, new }
+        Totals { old, new }
     }
 
     /// Returns whether the new release fails, or is slow, more often than the old one
     /// did at the same time, as all entries saw it, with so small a chance that a
     /// release as good as the old one looks so.
     fn is_worse_at(&self, certainty: Certainty) -> bool {
-        let Grounds { old, new } = self.grounds();
+        let Totals { old, new } = self.grounds();
         let mut failing: BTreeSet<&UpstreamId> = self.failing.iter().collect();
         for report in self.others.values() {
             failing.extend(&report.failing);
--- a/crates/core/src/release/sessions.rs
+++ b/crates/core/src/release/sessions.rs
@@ -13,13 +13,13 @@
 
 /// How long a session is remembered after its last request; the sites count
 /// requests within 5 s as one session.
-pub const LIFE: Span = Span::from_millis(6_000);
+pub const SESSION_TTL: Span = Span::from_millis(6_000);
 /// The sessions remembered before old ones are looked for.
 const MOST: usize = 4096;
 
 /// A session that stays at a release, as entries note it and tell one another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stay {
+pub struct Affinity {
     /// The pool.
     pub pool: PoolId,
     /// The release.
@@ -53,7 +53,7 @@
     }
 
     /// Notes where a session is.
-    pub fn keep(&mut self, stay: Stay, now: Time) {
+    pub fn keep(&mut self, stay: Affinity, now: Time) {
         if self.kept.len() >= MOST {
             self.kept.retain(|_, kept| now < kept.until);
         }
@@ -78,11 +78,11 @@
     }
 
     /// Returns what other entries are to be told since the last call.
-    pub fn stays(&mut self, now: Time) -> Vec<Stay> {
+    pub fn stays(&mut self, now: Time) -> Vec<Affinity> {
         let untold = std::mem::take(&mut self.untold);
         let stay = |session: u64| {
             let kept = self.get(session, now)?;
-            Some(Stay {
+            Some(Affinity {
                 pool: kept.pool.clone(),
                 release: kept.release.clone(),
                 session,
--- a/crates/core/src/follow/contact.rs
+++ b/crates/core/src/replication/contact.rs
@@ -1,6 +1,6 @@
 //! What an entry knows of one that may be its source.
 
-use super::{Bounds, Word};
+use super::{Timeouts, Status};
 use crate::unit::{Span, Time};
 
 /// How long an entry that was in vain is not asked again: at first, and at most.
@@ -90,14 +90,14 @@
     }
 
     /// Takes in what it tells.
-    pub fn heard(&mut self, word: Word, now: Time) {
+    pub fn heard(&mut self, word: Status, now: Time) {
         self.heard = Some(now);
-        self.store = self.store.max(word.store);
+        self.store = self.store.max(word.last_sync);
         self.leaving = word.leaving;
     }
 
     /// Returns how the entry does; one that does well was not in vain.
-    pub fn health(&mut self, now: Time, bounds: &Bounds) -> Health {
+    pub fn health(&mut self, now: Time, bounds: &Timeouts) -> Health {
         let health = self.look(now, bounds);
         if health == Health::Fresh {
             self.vain = 0;
@@ -106,7 +106,7 @@
     }
 
     /// Returns how the entry does, and remembers nothing.
-    pub fn look(&self, now: Time, bounds: &Bounds) -> Health {
+    pub fn look(&self, now: Time, bounds: &Timeouts) -> Health {
         let Some(since) = self.since else {
             return match self.rests_until.is_some_and(|until| now < until) {
                 true => Health::Resting,
@@ -115,8 +115,8 @@
         };
         let within = |at: Option<Time>, span: Span| at.is_some_and(|at| now.since(at) <= span);
         let is_heard = within(self.heard, bounds.silence);
-        match now.since(since) <= bounds.warm {
-            _ if is_heard && !self.leaving && within(self.store, bounds.stale) => Health::Fresh,
+        match now.since(since) <= bounds.warmup {
+            _ if is_heard && !self.leaving && within(self.store, bounds.max_staleness) => Health::Fresh,
             true => Health::Warming,
             false if is_heard => Health::Stale,
             false => Health::Silent,
--- a/crates/core/src/follow/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -13,14 +13,14 @@
 //! and then to the store itself.
 //!
 //! ```
-//! use sorreldeck::follow::{Action, Bounds, Follow, Peer, Reading};
+//! use sorreldeck::replication::{Action, Peer, Planner, Subscription, Timeouts};
 //! use sorreldeck::{Span, Time};
 //!
 //! let own = Peer::new("e-1".parse()?, "hall-a".parse()?, "127.0.0.1:1".parse().unwrap());
-//! let mut follow = Follow::new(own, Bounds::of(Span::from_millis(4_000)));
-//! follow.listed(Time(0));
-//! let actions = follow.step(Time(0));
-//! assert_eq!(actions, [Action::Read(Reading::All)]);
+//! let mut planner = Planner::new(own, Timeouts::of(Span::from_millis(4_000)));
+//! planner.set_listed(Time(0));
+//! let actions = planner.step(Time(0));
+//! assert_eq!(actions, [Action::Read(Subscription::All)]);
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
@@ -38,14 +38,14 @@
 use std::net::SocketAddr;
 
 /// The sources of each entry that does not read the store: with one, every loss of it would
-/// be a gap of [`Bounds::silence`].
+/// be a gap of [`Timeouts::silence`].
 const SOURCES: usize = 2;
 /// How many entries of a data hall are tried in the order of rank, before an entry reads
 /// the store itself: where a third of all are turned away by the store, one in 25 entries
 /// finds three of them so. Those that have been gone for long are passed over.
 const REACH: usize = 3;
 /// How many are asked at a time when the first has failed: one after the other would take
-/// [`Bounds::warm`] each.
+/// [`Timeouts::warmup`] each.
 const AT_ONCE: usize = 2;
 /// How long an entry that knows no configuration waits for its sources before it reads
 /// the store: callers are served 150 ms after a loss of all entries, of which the start
@@ -65,25 +65,25 @@
 /// The times within which sources are changed, all parts of the time within which a
 /// configuration must be in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Timeouts {
     /// How often a source is heard, whether or not there is news.
-    pub beat: Span,
+    pub heartbeat: Span,
     /// How long a source may be silent.
     pub silence: Span,
     /// How long a reader that hands tables down waits on the operator's.
-    pub wait: Span,
+    pub long_poll: Span,
     /// How old what a source knows of the store may be: a wait, 250 ms for which a reader
     /// gathers changes, 200 ms of a slow store, and the way over the links.
-    pub stale: Span,
+    pub max_staleness: Span,
     /// How long a source may take to be linked and to have read the store for the first
     /// time.
-    pub warm: Span,
+    pub warmup: Span,
     /// How long a change that the store named may be missing before the tables are asked
     /// anew: longer than the 600 ms for which changes of the upstreams are gathered.
-    pub missing: Span,
+    pub version_gap: Span,
 }
 
-impl Bounds {
+impl Timeouts {
     /// Returns the times for a configuration that must be in force after `limit`.
     ///
     /// When both sources of an entry are cut off just after they read, an entry leaves them
@@ -91,22 +91,22 @@
     /// reads the store; 0.3 are left for that and for putting the configuration in force.
     /// A change that no wait tells of is named after 0.35 of the limit and asked for after
     /// 0.675, so that a reader and those that have the tables from it know it in time.
-    pub fn of(limit: Span) -> Bounds {
+    pub fn of(limit: Span) -> Timeouts {
         let part = |thousandths: u64| Span::from_micros(limit.micros() / 1000 * thousandths);
-        Bounds {
-            beat: part(125),
+        Timeouts {
+            heartbeat: part(125),
             silence: part(300),
-            wait: part(350),
-            stale: part(575),
-            warm: part(125),
-            missing: part(325),
+            long_poll: part(350),
+            max_staleness: part(575),
+            warmup: part(125),
+            version_gap: part(325),
         }
     }
 }
 
 /// What an entry reads of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reading {
+pub enum Subscription {
     /// Nothing: its sources hand the tables down.
     #[default]
     Nothing,
@@ -126,24 +126,24 @@
     /// Close the link to another entry.
     Close(InstanceId),
     /// Read this much of the store from now on.
-    Read(Reading),
+    Read(Subscription),
 }
 
 /// What a source tells about itself with each message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct Status {
     /// When the store was heard, by the source itself or by one of its own sources, on
     /// this process's clock; `None` if it never was.
-    pub store: Option<Time>,
+    pub last_sync: Option<Time>,
     /// Whether the source is about to stop.
     pub leaving: bool,
 }
 
 /// From whom an entry has the store's tables.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct Planner {
     own: Peer,
-    bounds: Bounds,
+    bounds: Timeouts,
     peers: BTreeMap<InstanceId, Peer>,
     /// The names of each data hall in the order of their rank, without those learned since the
     /// last step: 300 entries are learned at once, and each would rank all anew.
@@ -151,7 +151,7 @@
     /// Whether some were learned since.
     learned: bool,
     contacts: BTreeMap<InstanceId, Contact>,
-    reading: Reading,
+    reading: Subscription,
     /// Whether the list of entries is known.
     listed: bool,
     /// Since when the list is known and nothing else; requests cannot be served then.
@@ -172,17 +172,17 @@
     needed: Option<Time>,
 }
 
-impl Follow {
+impl Planner {
     /// Creates the state of an entry that knows of no others.
-    pub fn new(own: Peer, bounds: Bounds) -> Follow {
-        let mut follow = Follow {
+    pub fn new(own: Peer, bounds: Timeouts) -> Planner {
+        let mut follow = Planner {
             own: own.clone(),
             bounds,
             peers: BTreeMap::new(),
             ranked: BTreeMap::new(),
             learned: false,
             contacts: BTreeMap::new(),
-            reading: Reading::default(),
+            reading: Subscription::default(),
             listed: false,
             began: None,
             informed: false,
@@ -193,22 +193,22 @@
             missed: false,
             needed: None,
         };
-        follow.learn(own);
+        follow.add_peer(own);
         follow
     }
 
     /// Returns the times by which sources are changed.
-    pub fn bounds(&self) -> Bounds {
+    pub fn timeouts(&self) -> Timeouts {
         self.bounds
     }
 
     /// Returns what this entry reads of the store.
-    pub fn reading(&self) -> Reading {
+    pub fn subscription(&self) -> Subscription {
         self.reading
     }
 
     /// Returns whether an entry is in the data hall of this one.
-    pub fn is_near(&self, name: &InstanceId) -> bool {
+    pub fn is_same_hall(&self, name: &InstanceId) -> bool {
         let peer = self.peers.get(name);
         peer.is_some_and(|p| p.hall == self.own.hall)
     }
@@ -229,7 +229,7 @@
     }
 
     /// Returns when the store was heard, by whatever way.
-    pub fn heard_at(&self) -> Option<Time> {
+    pub fn last_sync(&self) -> Option<Time> {
         self.heard
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// Notes an entry that announced itself.
-    pub fn learn(&mut self, peer: Peer) {
+    pub fn add_peer(&mut self, peer: Peer) {
         let name = peer.name.clone();
         let before = self.peers.insert(name.clone(), peer.clone());
         if before.as_ref() == Some(&peer) {
@@ -262,42 +262,42 @@
     }
 
     /// Notes that the list of entries is known.
-    pub fn listed(&mut self, now: Time) {
+    pub fn set_listed(&mut self, now: Time) {
         self.listed = true;
         self.began.get_or_insert(now);
     }
 
     /// Notes that a configuration is known, so that requests can be served.
-    pub fn informed(&mut self) {
+    pub fn set_configured(&mut self) {
         self.informed = true;
     }
 
     /// Notes whether other entries ask this one for tables.
-    pub fn asked(&mut self, asked: bool) {
+    pub fn set_requested(&mut self, asked: bool) {
         self.asked = asked;
     }
 
     /// Notes that this entry had all tables from the store at a time.
-    pub fn complete(&mut self, at: Time) {
+    pub fn record_sync(&mut self, at: Time) {
         self.heard = self.heard.max(Some(at));
     }
 
     /// Notes that the store has answered this entry.
-    pub fn reached(&mut self, now: Time) {
-        if self.reading == Reading::Operator {
+    pub fn store_answered(&mut self, now: Time) {
+        if self.reading == Subscription::Operator {
             self.settling.get_or_insert(now);
         }
     }
 
     /// Notes that the store did not answer this entry.
-    pub fn missed(&mut self) {
+    pub fn store_failed(&mut self) {
         self.settling = None;
         self.missed = true;
     }
 
     /// Notes that the link to an entry is open; returns whether it is still wanted. Another
     /// source may have become new enough while it was opened.
-    pub fn opened(&mut self, name: &InstanceId, now: Time) -> bool {
+    pub fn link_opened(&mut self, name: &InstanceId, now: Time) -> bool {
         let contact = self.contacts.get_mut(name);
         match contact.filter(|contact| contact.is_linked()) {
             Some(contact) => {
@@ -309,19 +309,19 @@
     }
 
     /// Notes that there is no link to an entry, or none any more.
-    pub fn closed(&mut self, name: &InstanceId, now: Time) {
+    pub fn link_closed(&mut self, name: &InstanceId, now: Time) {
         if let Some(contact) = self.contacts.get_mut(name) {
             contact.closed(now);
         }
     }
 
     /// Takes in what an entry tells about itself.
-    pub fn heard(&mut self, name: &InstanceId, word: Word, now: Time) {
+    pub fn record_status(&mut self, name: &InstanceId, word: Status, now: Time) {
         let Some(contact) = self.contacts.get_mut(name) else {
             return;
         };
         contact.heard(word, now);
-        self.heard = self.heard.max(word.store);
+        self.heard = self.heard.max(word.last_sync);
     }
 
     /// Returns what is to be done now.
@@ -331,7 +331,7 @@
         }
         let mut actions = Vec::new();
         if !self.listed {
-            return self.read(Reading::Entries, actions);
+            return self.read(Subscription::Entries, actions);
         }
         let mut kept = BTreeSet::new();
         let walk = self.walk_all(now, &mut kept, &mut actions);
@@ -344,7 +344,7 @@
         self.read(reading, actions)
     }
 
-    fn read(&mut self, reading: Reading, mut actions: Vec<Action>) -> Vec<Action> {
+    fn read(&mut self, reading: Subscription, mut actions: Vec<Action>) -> Vec<Action> {
         if self.reading != reading {
             self.reading = reading;
             self.settling = None;
@@ -446,18 +446,18 @@
 
     /// Returns the times by which sources are judged now: while all entries start, sources that
     /// have read the store hand all tables to everybody.
-    fn bounds_now(&self) -> Bounds {
+    fn bounds_now(&self) -> Timeouts {
         match self.informed {
             true => self.bounds,
-            false => Bounds {
-                warm: self.bounds.warm.max(self.start_wait()),
+            false => Timeouts {
+                warmup: self.bounds.warmup.max(self.start_wait()),
                 ..self.bounds
             },
         }
     }
 
     /// Returns what is to be read of the store after a walk through the data halls.
-    fn wanted(&mut self, walk: &Walk, now: Time) -> Reading {
+    fn wanted(&mut self, walk: &Walk, now: Time) -> Subscription {
         // A reader may hear nothing of a change for longer than is allowed; one of another
         // data hall tells it then. Where there is none, a second one reads here.
         let is_covered = walk.near > 0 && self.ranked.len() > 1;
@@ -465,32 +465,32 @@
         if must && !is_covered {
             self.bare = None;
             self.needed = Some(now);
-            return Reading::All;
+            return Subscription::All;
         }
         if walk.fresh > 0 {
             self.bare = None;
             let lingers = self.needed.is_some_and(|at| now.since(at) < LINGER);
             return match (self.reading, lingers) {
-                (Reading::All, true) => Reading::All,
-                _ => Reading::Nothing,
+                (Subscription::All, true) => Subscription::All,
+                _ => Subscription::Nothing,
             };
         }
-        if self.reading == Reading::All {
-            return Reading::All;
+        if self.reading == Subscription::All {
+            return Subscription::All;
         }
         if !self.informed {
             let waited = self.began.map_or(Span::default(), |at| now.since(at));
             return match waited >= self.start_wait() || walk.warming == 0 {
-                true => Reading::All,
-                false => Reading::Nothing,
+                true => Subscription::All,
+                false => Subscription::Nothing,
             };
         }
         // The next in rank have the time of one attempt; those after them would take it too
         // long, one after the other.
         let bare = *self.bare.get_or_insert(now);
-        let hopes = walk.warming > 0 && now.since(bare) < self.bounds.warm;
-        if hopes && self.reading == Reading::Nothing {
-            return Reading::Nothing;
+        let hopes = walk.warming > 0 && now.since(bare) < self.bounds.warmup;
+        if hopes && self.reading == Subscription::Nothing {
+            return Subscription::Nothing;
         }
         // Where the store answers at once, only the sources are in trouble.
         let settle = match self.missed {
@@ -498,8 +498,8 @@
             false => Span::default(),
         };
         match self.settling.is_some_and(|at| now.since(at) >= settle) {
-            true => Reading::All,
-            false => Reading::Operator,
+            true => Subscription::All,
+            false => Subscription::Operator,
         }
     }
 }
--- a/crates/core/src/follow/watermark.rs
+++ b/crates/core/src/replication/watermark.rs
@@ -6,19 +6,19 @@
 //! about such a wait, and it may last for 20 s.
 //!
 //! ```
-//! use sorreldeck::follow::Watermark;
+//! use sorreldeck::replication::Watermark;
 //! use sorreldeck::{Span, Time};
 //!
 //! let mut watermark = Watermark::new(2);
-//! watermark.known(0, 7, []);
-//! watermark.known(1, 7, []);
-//! watermark.known(0, 8, [8]);
-//! watermark.named(9, Time(0));
+//! watermark.advance(0, 7, []);
+//! watermark.advance(1, 7, []);
+//! watermark.advance(0, 8, [8]);
+//! watermark.observe(9, Time(0));
 //! let patience = Span::from_micros(10);
-//! assert!(watermark.behind(Time(9), patience).is_empty());
-//! assert_eq!(watermark.behind(Time(10), patience), [0, 1]);
-//! watermark.known(1, 9, [9]);
-//! assert!(watermark.behind(Time(10), patience).is_empty());
+//! assert!(watermark.lagging(Time(9), patience).is_empty());
+//! assert_eq!(watermark.lagging(Time(10), patience), [0, 1]);
+//! watermark.advance(1, 9, [9]);
+//! assert!(watermark.lagging(Time(10), patience).is_empty());
 //! ```
 
 use crate::unit::{Span, Time};
@@ -54,7 +54,7 @@
     }
 
     /// Notes that a table is known up to a version, and which versions changed it since.
-    pub fn known(&mut self, table: usize, version: u64, changes: impl IntoIterator<Item = u64>) {
+    pub fn advance(&mut self, table: usize, version: u64, changes: impl IntoIterator<Item = u64>) {
         if let Some(known) = self.tables.get_mut(table) {
             *known = version.max(*known);
         }
@@ -76,7 +76,7 @@
     }
 
     /// Notes that the store named its newest version.
-    pub fn named(&mut self, version: u64, now: Time) {
+    pub fn observe(&mut self, version: u64, now: Time) {
         let newest = self.named.back().map_or(self.covered, |(v, _)| *v);
         if version > newest && self.named.len() < MOST_NAMED {
             self.named.push_back((version, now));
@@ -85,7 +85,7 @@
 
     /// Returns the tables that must be asked anew: those not known up to a version that was
     /// named that long ago and is not covered.
-    pub fn behind(&self, now: Time, patience: Span) -> Vec<usize> {
+    pub fn lagging(&self, now: Time, patience: Span) -> Vec<usize> {
         let Some((version, since)) = self.named.front() else {
             return Vec::new();
         };
--- a/crates/core/src/sidecar.rs
+++ b/crates/core/src/sidecar.rs
@@ -32,7 +32,7 @@
 use crate::limit::{Allocator, Demand};
 use crate::pick::Link;
 use crate::promise::{Promise, Promises};
-use crate::quarantine::{Told, Word};
+use crate::quarantine::{Journal, Update};
 use crate::queue::{Item, Next, Queue};
 use crate::route;
 use crate::store::{Batch, Held};
@@ -162,7 +162,7 @@
     allocator: Allocator,
     pool: Pool,
     /// What entries told of requests under which upstreams crashed.
-    told: Told,
+    told: Journal,
     /// Until when the upstream wants no requests.
     rests_until: Time,
     leaving: bool,
@@ -207,7 +207,7 @@
             links: BTreeSet::new(),
             allocator: Allocator::default(),
             pool: Pool::default(),
-            told: Told::default(),
+            told: Journal::default(),
             rests_until: Time::default(),
             leaving: false,
             service: SERVICE_PER_TOKEN,
@@ -342,7 +342,7 @@
     }
 
     /// Passes on what an entry tells of requests to all others, which have no links to it.
-    fn pass_on(&mut self, now: Time, from: Link, words: &[Word], out: &mut Outputs) {
+    fn pass_on(&mut self, now: Time, from: Link, words: &[Update], out: &mut Outputs) {
         self.told.note(words, now);
         let others = self.links.iter().filter(|link| **link != from);
         let send = |link: &Link| Output::Send(*link, Frame::Words(words.to_vec()));
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -19,8 +19,8 @@
 use crate::failure::Failure;
 use crate::id::*;
 use crate::notice;
-use crate::quarantine::Word;
-use crate::release::{Report, Stay};
+use crate::quarantine::Update;
+use crate::release::{Report, Affinity};
 use crate::tree::{Change, Class};
 use crate::unit::Span;
 use crate::verdict::Verdict;
@@ -329,13 +329,13 @@
     /// in milliseconds.
     pub sent: Vec<(u64, u32)>,
     /// The sessions that it serves and that stay at their release.
-    pub stays: Vec<Stay>,
+    pub stays: Vec<Affinity>,
     /// The requests that were where upstreams crashed, and what became of them.
     #[serde(default)]
-    pub words: Vec<Word>,
+    pub words: Vec<Update>,
     /// What upstreams said of themselves.
     #[serde(default)]
-    pub notices: Vec<notice::Word>,
+    pub notices: Vec<notice::Update>,
     /// What it counted of the requests that began to run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub counts: Vec<duty::Part>,
@@ -365,13 +365,13 @@
     /// takes, in milliseconds.
     pub sent: Vec<(u64, u32)>,
     /// The sessions that entries serve and that stay at their release.
-    pub stays: Vec<Stay>,
+    pub stays: Vec<Affinity>,
     /// The requests that were where upstreams crashed, and what became of them.
     #[serde(default)]
-    pub words: Vec<Word>,
+    pub words: Vec<Update>,
     /// What upstreams said of themselves.
     #[serde(default)]
-    pub notices: Vec<notice::Word>,
+    pub notices: Vec<notice::Update>,
     /// True time less the store's clock, in microseconds, where it is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub epoch_us: Option<i64>,
@@ -515,7 +515,7 @@
     },
     /// What entries tell one another, by way of sidecars, of requests under which upstreams
     /// crashed.
-    Words(Vec<Word>),
+    Words(Vec<Update>),
     /// What an entry has found out about a version, since it started.
     Evidence {
         /// The run of the entry.
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -233,7 +233,7 @@
         pool: "engines".parse().unwrap(),
         to: "v2".parse().unwrap(),
         duration: Span::from_millis(24_000),
-        number: 7.into(),
+        issued: 7.into(),
     };
     let began = stand.now;
     stand.tell(Input::Move(order, Some(State::Running), Some(began)));
--- a/crates/core/tests/leaving_in_answers.rs
+++ b/crates/core/tests/leaving_in_answers.rs
@@ -13,7 +13,7 @@
 use common::stand::Stand;
 use common::{failure, head, sent};
 use sorreldeck::entry::{Input, Output, Reply};
-use sorreldeck::notice::{Change, Notice, Word};
+use sorreldeck::notice::{Change, Notice, Update};
 use sorreldeck::pick::Link;
 use sorreldeck::{Failure, Reason, Span, Verdict};
 use sorreldeck_emulator::notice::{Day, Says, Trouble, World};
@@ -24,7 +24,7 @@
 const BOUND: Span = Span::from_millis(2_000);
 const LEAVES: Notice = Notice {
     leaving: true,
-    rest: None,
+    pause: None,
     limit: None,
     pace: None,
 };
@@ -85,7 +85,7 @@
             _ => None,
         }));
     }
-    let leaving = |word: &Word| word.change == Change::Leaving;
+    let leaving = |word: &Update| word.change == Change::Leaving;
     assert!(words.len() == 1 && leaving(&words[0]), "{words:?}");
     let mut other = Stand::new(3);
     let outputs = other.tell(Input::Notice(words[0]));
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use sorreldeck::entry::{Entry, Input, Member, Output, Reply};
 use sorreldeck::pick::{Link, Place};
-use sorreldeck::quarantine::{Admission, Fingerprint, Hold, News, Quarantine, Run, Word};
+use sorreldeck::quarantine::{Admission, Fingerprint, Hold, Change, Quarantine, Run, Update};
 use sorreldeck::sidecar::{self, Sidecar};
 use sorreldeck::wire::{self, Frame, Load};
 use sorreldeck::{Failure, PoolId, Reason, RequestId, Span, Time, Verdict};
@@ -30,7 +30,7 @@
         upstream,
         spread: 0.0,
     };
-    quarantine.lost(&run, now);
+    quarantine.record_crash(&run, now);
 }
 
 fn ms(ms: u64) -> Time {
@@ -51,9 +51,9 @@
 }
 
 fn held_news(quarantine: &mut Quarantine) -> Option<Hold> {
-    quarantine.news().into_iter().find_map(|news| match news {
-        News::Held(_, hold, _) => Some(hold),
-        News::Freed(_) => None,
+    quarantine.take_changes().into_iter().find_map(|news| match news {
+        Change::Held(_, hold, _) => Some(hold),
+        Change::Freed(_) => None,
     })
 }
 
@@ -77,7 +77,7 @@
     for copy in 0..20 {
         lose(&mut quarantine, 7, 1, ms(60 * copy));
     }
-    assert_eq!(quarantine.admits(print(7), ms(1_300)), Admission::Free);
+    assert_eq!(quarantine.admits(print(7), ms(1_300)), Admission::Allowed);
 }
 
 /// What ran beside the request each time cannot be told from it; what did twice can.
@@ -95,8 +95,8 @@
     // The crashes are put down to what was there three times.
     lose(&mut quarantine, 8, 9, ms(5_000));
     lose(&mut quarantine, 8, 10, ms(6_000));
-    assert_eq!(quarantine.admits(print(8), ms(6_000)), Admission::Free);
-    assert!(!quarantine.suspects(print(11), ms(6_000)));
+    assert_eq!(quarantine.admits(print(8), ms(6_000)), Admission::Allowed);
+    assert!(!quarantine.is_suspect(print(11), ms(6_000)));
 }
 
 #[test]
@@ -104,40 +104,40 @@
     let mut quarantine = Quarantine::default();
     lose(&mut quarantine, 7, 1, ms(0));
     lose(&mut quarantine, 7, 2, ms(200));
-    quarantine.words();
-    quarantine.answered(print(7), &pool(), ms(300));
-    assert_eq!(quarantine.words(), [Word::Answered(print(7))]);
+    quarantine.take_updates();
+    quarantine.record_answer(print(7), &pool(), ms(300));
+    assert_eq!(quarantine.take_updates(), [Update::Answered(print(7))]);
     lose(&mut quarantine, 7, 3, ms(400));
-    assert_eq!(quarantine.admits(print(7), ms(400)), Admission::Free);
+    assert_eq!(quarantine.admits(print(7), ms(400)), Admission::Allowed);
 
     let mut other = held();
     assert!(held_news(&mut other).is_some());
-    other.told(Word::Answered(print(7)), ms(700), |_| 0.0);
-    assert_eq!(other.admits(print(7), ms(700)), Admission::Free);
-    assert_eq!(other.news(), [News::Freed(print(7))]);
+    other.merge(Update::Answered(print(7)), ms(700), |_| 0.0);
+    assert_eq!(other.admits(print(7), ms(700)), Admission::Allowed);
+    assert_eq!(other.take_changes(), [Change::Freed(print(7))]);
     // A record that was on its way holds nothing back any more.
     let late = Hold {
         until: ms(9_000),
-        before: 0,
+        previous: 0,
         is_own: false,
     };
-    other.recorded(print(7), late, ms(900));
-    assert_eq!(other.admits(print(7), ms(900)), Admission::Free);
+    other.restore_hold(print(7), late, ms(900));
+    assert_eq!(other.admits(print(7), ms(900)), Admission::Allowed);
 }
 
 /// Whoever has answered a request lately says so when others suspect it.
 #[test]
 fn an_entry_that_knows_better_says_so() {
     let mut quarantine = Quarantine::default();
-    quarantine.answered(print(7), &pool(), ms(0));
-    let word = Word::Lost {
+    quarantine.record_answer(print(7), &pool(), ms(0));
+    let word = Update::Crashed {
         upstream: 1,
         ago_ms: 10,
-        there: vec![print(7), print(8)],
+        requests: vec![print(7), print(8)],
     };
-    quarantine.told(word, ms(100), |_| 0.0);
-    assert_eq!(quarantine.words(), [Word::Answered(print(7))]);
-    assert!(quarantine.suspects(print(8), ms(100)));
+    quarantine.merge(word, ms(100), |_| 0.0);
+    assert_eq!(quarantine.take_updates(), [Update::Answered(print(7))]);
+    assert!(quarantine.is_suspect(print(8), ms(100)));
 }
 
 #[test]
@@ -145,13 +145,13 @@
     let mut quarantine = Quarantine::default();
     lose(&mut quarantine, 7, 1, ms(0));
     for (upstream, at) in [(1, 120), (2, 300), (3, 500)] {
-        assert_eq!(quarantine.admits(print(7), ms(at)), Admission::Free);
-        let word = Word::Lost {
+        assert_eq!(quarantine.admits(print(7), ms(at)), Admission::Allowed);
+        let word = Update::Crashed {
             upstream,
             ago_ms: 100,
-            there: vec![print(7)],
+            requests: vec![print(7)],
         };
-        quarantine.told(word, ms(at), |_| 0.0);
+        quarantine.merge(word, ms(at), |_| 0.0);
     }
     let admission = quarantine.admits(print(7), ms(500));
     assert!(matches!(admission, Admission::Held(_)));
@@ -163,14 +163,14 @@
     let mut quarantine = Quarantine::default();
     lose(&mut quarantine, 7, 1, ms(0));
     for upstream in 2..=6 {
-        let word = Word::Lost {
+        let word = Update::Crashed {
             upstream,
             ago_ms: 100 * upstream,
-            there: vec![print(7)],
+            requests: vec![print(7)],
         };
-        quarantine.told(word, ms(100 * upstream + 5), |_| 0.0);
+        quarantine.merge(word, ms(100 * upstream + 5), |_| 0.0);
     }
-    assert_eq!(quarantine.admits(print(7), ms(700)), Admission::Free);
+    assert_eq!(quarantine.admits(print(7), ms(700)), Admission::Allowed);
 }
 
 /// What is at most upstreams is also at those that crash for another reason.
@@ -184,9 +184,9 @@
             upstream,
             spread: 0.9,
         };
-        quarantine.lost(&run, ms(300 * upstream));
+        quarantine.record_crash(&run, ms(300 * upstream));
     }
-    assert_eq!(quarantine.admits(print(7), ms(3_000)), Admission::Free);
+    assert_eq!(quarantine.admits(print(7), ms(3_000)), Admission::Allowed);
 }
 
 /// The entry of the record tries the request first, all others a minute later; a crash
@@ -203,12 +203,12 @@
         Admission::Held(_)
     ));
     assert_eq!(quarantine.admits(print(7), others), Admission::Trial);
-    quarantine.recorded(print(7), recorded(first, true), ms(700));
+    quarantine.restore_hold(print(7), recorded(first, true), ms(700));
     assert_eq!(quarantine.admits(print(7), after), Admission::Trial);
     lose(&mut quarantine, 7, 4, after);
     let second = held_news(&mut quarantine).unwrap();
     assert_eq!(second.until.since(after), Span::from_millis(120_000));
-    assert_eq!((second.before, second.is_own), (1, true));
+    assert_eq!((second.previous, second.is_own), (1, true));
 }
 
 /// Whoever passes words on tells them again to entries that are linked later.
@@ -217,14 +217,14 @@
     let mut quarantine = held();
     let first = held_news(&mut quarantine).unwrap();
     let now = first.until + Span::from_millis(65_000);
-    let word = |ago: Span| Word::Lost {
+    let word = |ago: Span| Update::Crashed {
         upstream: 3,
         ago_ms: ago.millis(),
-        there: vec![print(7)],
+        requests: vec![print(7)],
     };
-    quarantine.told(word(now.since(ms(600))), now, |_| 0.0);
+    quarantine.merge(word(now.since(ms(600))), now, |_| 0.0);
     assert_eq!(quarantine.admits(print(7), now), Admission::Trial);
-    quarantine.told(word(Span::from_millis(50)), now, |_| 0.0);
+    quarantine.merge(word(Span::from_millis(50)), now, |_| 0.0);
     assert!(matches!(
         quarantine.admits(print(7), now),
         Admission::Held(_)
@@ -235,10 +235,10 @@
 fn what_others_recorded_before_changes_nothing_later() {
     let mut quarantine = held();
     let first = held_news(&mut quarantine).unwrap();
-    quarantine.recorded(print(7), recorded(first, true), ms(700));
+    quarantine.restore_hold(print(7), recorded(first, true), ms(700));
     lose(&mut quarantine, 7, 4, first.until);
     let second = held_news(&mut quarantine).unwrap();
-    quarantine.recorded(print(7), recorded(first, false), first.until);
+    quarantine.restore_hold(print(7), recorded(first, false), first.until);
     let admission = quarantine.admits(print(7), first.until + Span::from_millis(100_000));
     let left = second.until.since(first.until + Span::from_millis(100_000));
     assert_eq!(admission, Admission::Held(left));
@@ -259,17 +259,17 @@
                 0 | 1 => lose(&mut quarantine, number, upstream, now),
                 2 => {
                     let there = vec![print(number), print(number + 1)];
-                    quarantine.told(Word::Lost { upstream, ago_ms: wild, there }, now, |_| 0.3);
+                    quarantine.merge(Update::Crashed { upstream, ago_ms: wild, requests: there }, now, |_| 0.3);
                 }
                 3 => {
-                    let hold = Hold { until: Time(wild / 2), before: wild as u32, is_own: wild % 2 == 0 };
-                    quarantine.recorded(print(number), hold, now);
+                    let hold = Hold { until: Time(wild / 2), previous: wild as u32, is_own: wild % 2 == 0 };
+                    quarantine.restore_hold(print(number), hold, now);
                 }
                 4 => {
-                    quarantine.answered(print(number), &pool(), now);
-                    prop_assert_eq!(quarantine.admits(print(number), now), Admission::Free);
+                    quarantine.record_answer(print(number), &pool(), now);
+                    prop_assert_eq!(quarantine.admits(print(number), now), Admission::Allowed);
                 }
-                _ => quarantine.forgotten(print(number)),
+                _ => quarantine.remove_hold(print(number)),
             }
             for number in 0..5 {
                 if let Admission::Held(left) = quarantine.admits(print(number), now) {
@@ -290,12 +290,12 @@
     for number in 0..200_000 {
         let now = ms(number * 60);
         lose(&mut quarantine, number / 3, number, now);
-        quarantine.answered(print(1_000_000 + number), &pool(), now);
+        quarantine.record_answer(print(1_000_000 + number), &pool(), now);
     }
     let end = ms(200_000 * 60);
-    assert!(quarantine.held(end) <= 512);
-    assert!(quarantine.words().len() <= 1_024);
-    assert!(quarantine.remembered() <= 128 * 256);
+    assert!(quarantine.held_count(end) <= 512);
+    assert!(quarantine.take_updates().len() <= 1_024);
+    assert!(quarantine.tracked_runs() <= 128 * 256);
 }
 
 /// An entry with upstreams of a pool that is asked for streams.
@@ -407,7 +407,7 @@
     assert!(stand.lose(other).is_empty(), "it is over");
     assert!(stand.entry.history().get(begun).unwrap().failure.is_none());
     let out = stand.tell(Input::Reply(link, run, Reply::End));
-    let freed = |o: &Output| matches!(o, Output::Quarantine(News::Freed(_)));
+    let freed = |o: &Output| matches!(o, Output::Quarantine(Change::Freed(_)));
     assert!(out.iter().any(freed), "{out:?}");
     assert!(sent(&stand.ask("/drafts/bad").1).is_some());
 }
--- a/crates/core/tests/regression/roaming_session_was_drawn.rs
+++ b/crates/core/tests/regression/roaming_session_was_drawn.rs
@@ -17,14 +17,14 @@
     let (old, new): (VersionId, VersionId) = ("v1".parse().unwrap(), "v2".parse().unwrap());
     let present = BTreeMap::from([(&old, 18), (&new, 18)]);
     let mut releases = Releases::default();
-    releases.settle(&pool, [&old]);
+    releases.set_baseline(&pool, [&old]);
     let order = Order {
         pool: pool.clone(),
         to: new.clone(),
         duration: Span::from_millis(24_000),
-        number: 1.into(),
+        issued: 1.into(),
     };
-    releases.order(order, Some(State::Running), Some(Time(0)));
+    releases.set_order(order, Some(State::Running), Some(Time(0)));
     let broken = (0..TRIALS).filter(|trial| {
         let sessions = trial * ROAMING..(trial + 1) * ROAMING;
         let drawn = sessions.filter(|s| {
--- a/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
+++ b/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
@@ -115,7 +115,7 @@
                 pool: "engines".parse().unwrap(),
                 to: "v2".parse().unwrap(),
                 duration: Span::from_millis(24_000),
-                number: 7.into(),
+                issued: 7.into(),
             };
             self.handle(
                 number,
--- a/crates/core/tests/release.rs
+++ b/crates/core/tests/release.rs
@@ -1,6 +1,6 @@
 //! Moves to another release, as one entry sees them.
 
-use sorreldeck::release::{Answer, Order, Releases, State, Stay, LIFE};
+use sorreldeck::release::{Answer, Order, Releases, State, Affinity, SESSION_TTL};
 use sorreldeck::{PoolId, RouteId, Share, Span, Time, UpstreamId, VersionId};
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -29,20 +29,20 @@
             old: "v1".parse().unwrap(),
             new: "v2".parse().unwrap(),
         };
-        stand.releases.settle(&stand.pool, [&stand.old]);
+        stand.releases.set_baseline(&stand.pool, [&stand.old]);
         stand.tell(State::Running);
         stand
     }
 
     /// Notes that a session is at the old release.
     fn keep(&mut self, session: u64, ms: u64) {
-        let stay = Stay {
+        let stay = Affinity {
             pool: self.pool.clone(),
             release: self.old.clone(),
             session,
-            left: LIFE,
+            left: SESSION_TTL,
         };
-        self.releases.keep(stay, at(ms));
+        self.releases.set_affinity(stay, at(ms));
     }
 
     fn tell(&mut self, state: State) {
@@ -50,9 +50,9 @@
             pool: self.pool.clone(),
             to: self.new.clone(),
             duration: Span::from_millis(DURATION),
-            number: 7.into(),
+            issued: 7.into(),
         };
-        self.releases.order(order, Some(state), Some(at(0)));
+        self.releases.set_order(order, Some(state), Some(at(0)));
     }
 
     fn choose(&mut self, session: Option<u64>, draw: f64, ms: u64, new: usize) -> VersionId {
@@ -74,23 +74,23 @@
 
     fn pace(&mut self, upstream: &str, ms: u64) -> bool {
         self.tell_of(upstream, WORK, None, |releases, answer| {
-            releases.paced(answer, 20, Span::from_millis(20 * ms))
+            releases.record_pace(answer, 20, Span::from_millis(20 * ms))
         })
     }
 
     fn answer(&mut self, upstream: &str, first: Option<u64>) -> bool {
         let first = first.map(Span::from_millis);
-        self.tell_of(upstream, WORK, first, Releases::learn)
+        self.tell_of(upstream, WORK, first, Releases::record_answer)
     }
 
     /// An answer that ought to begin after `work` ms and does after `first` ms.
     fn answer_of_work(&mut self, upstream: &str, work: u64, first: u64) -> bool {
         let first = Some(Span::from_millis(first));
-        self.tell_of(upstream, Span::from_millis(work), first, Releases::learn)
+        self.tell_of(upstream, Span::from_millis(work), first, Releases::record_answer)
     }
 
     fn stall(&mut self, upstream: &str) -> bool {
-        self.tell_of(upstream, WORK, None, Releases::stalled)
+        self.tell_of(upstream, WORK, None, Releases::record_stall)
     }
 
     /// Tells the releases of an answer; the names of upstreams of the old one begin with it.
@@ -112,10 +112,10 @@
             release,
             upstream: &upstream,
             kind: (&route, 0),
-            work,
+            expected: work,
             sent: at(1_000),
             seen: at(1_000),
-            first,
+            ttft: first,
         };
         tell(&mut self.releases, &answer)
     }
@@ -158,11 +158,11 @@
         pool: stand.pool.clone(),
         to: stand.new.clone(),
         duration: Span::from_millis(duration),
-        number: 8.into(),
+        issued: 8.into(),
     };
     stand
         .releases
-        .order(order, Some(State::Running), Some(at(0)));
+        .set_order(order, Some(State::Running), Some(at(0)));
     let mut exposed = 0;
     for ms in 0..duration {
         let draw = (ms * 7919 % 1000) as f64 / 1000.0;
@@ -175,7 +175,7 @@
 fn where_less_may_be_exposed_the_second_trial_is_smaller() {
     let mut stand = Stand::running();
     stand.releases = Releases::new(Share::percent(8));
-    stand.releases.settle(&stand.pool, [&stand.old]);
+    stand.releases.set_baseline(&stand.pool, [&stand.old]);
     stand.tell(State::Running);
     assert!(stand.share(DURATION * 60 / 100, 6) < 0.05);
 }
@@ -200,7 +200,7 @@
 fn a_trial_runs_on_few_upstreams(ms: u64, expected: Option<usize>) {
     let stand = Stand::running();
     let present = BTreeMap::from([(&stand.old, 18), (&stand.new, 18)]);
-    let few = |v| stand.releases.few(&stand.pool, v, at(ms), &present);
+    let few = |v| stand.releases.canary(&stand.pool, v, at(ms), &present);
     assert_eq!(few(&stand.new).map(|f| f.count), expected);
     assert_eq!(few(&stand.old), None);
 }
@@ -361,10 +361,10 @@
         teller.answer(["a", "b"][i % 2], Some(first));
     }
     let pool = teller.pool.clone();
-    let (_, report) = teller.releases.reports().remove(0);
+    let (_, report) = teller.releases.take_reports().remove(0);
     for i in 0..30 {
         let entry = format!("e{i}").parse().unwrap();
-        assert!(!listener.releases.told(&pool, entry, report.clone()), "{i}");
+        assert!(!listener.releases.merge(&pool, entry, report.clone()), "{i}");
     }
 }
 
@@ -398,15 +398,15 @@
             release: &release,
             upstream: &upstream,
             kind: (&route, 0),
-            work: WORK,
+            expected: WORK,
             sent: at(sent),
             seen: at(ends),
-            first: Some(Span::from_millis(2_000)),
+            ttft: Some(Span::from_millis(2_000)),
         };
-        by_beginning |= stands[0].releases.learn(&answer);
-        by_stall |= stands[1].releases.stalled(&answer);
+        by_beginning |= stands[0].releases.record_answer(&answer);
+        by_stall |= stands[1].releases.record_stall(&answer);
         let span = Span::from_millis(20 * 100);
-        by_pace |= stands[2].releases.paced(&answer, 20, span);
+        by_pace |= stands[2].releases.record_pace(&answer, 20, span);
     }
     assert_eq!(by_beginning, begins, "by its beginning");
     assert_eq!(by_stall, begins, "since it was left");
@@ -448,7 +448,7 @@
         share > 0.9,
         moves,
         "{} {share}",
-        stand.releases.grounds(&stand.pool)
+        stand.releases.totals(&stand.pool)
     );
 }
 
@@ -462,9 +462,9 @@
         pool: stand.pool.clone(),
         to: stand.new.clone(),
         duration: Span::from_millis(DURATION),
-        number: 9.into(),
+        issued: 9.into(),
     };
-    stand.releases.order(order, None, None);
+    stand.releases.set_order(order, None, None);
     assert!(!stand.releases.is_bad(&stand.pool));
     assert_eq!(stand.proposed(100, 0), Some(State::Running));
 }
@@ -483,13 +483,13 @@
     assert!(!stands[0].answer("a", None));
     assert!(!stands[1].answer("b", None));
     let pool = stands[0].pool.clone();
-    let mut reports = stands[0].releases.reports();
-    assert!(stands[0].releases.reports().is_empty(), "told once");
+    let mut reports = stands[0].releases.take_reports();
+    assert!(stands[0].releases.take_reports().is_empty(), "told once");
     let (of, report) = reports.remove(0);
     assert_eq!(of, pool);
     let entry = || "e1".parse().unwrap();
-    assert!(stands[1].releases.told(&pool, entry(), report.clone()));
-    assert!(!stands[2].releases.told(&pool, entry(), report));
+    assert!(stands[1].releases.merge(&pool, entry(), report.clone()));
+    assert!(!stands[2].releases.merge(&pool, entry(), report));
 }
 
 /// A release eight times slower in half of its answers was completed with 3 of 4 seeds. One
@@ -565,9 +565,9 @@
         "one alone is not in doubt"
     );
     for teller in 1..3 {
-        let (_, report) = stands[teller].releases.reports().remove(0);
+        let (_, report) = stands[teller].releases.take_reports().remove(0);
         let entry = format!("e{teller}").parse().unwrap();
-        assert!(!stands[0].releases.told(&pool, entry, report));
+        assert!(!stands[0].releases.merge(&pool, entry, report));
     }
     assert_eq!(stands[0].proposed(late, 0), Some(State::RolledBack));
     assert!(stands[0].share(DURATION * 97 / 100, 6) < 0.05);
--- a/crates/core/tests/rest_asked_for.rs
+++ b/crates/core/tests/rest_asked_for.rs
@@ -67,7 +67,7 @@
     /// Has the upstream of a run turn it away and ask for rest.
     fn turn_away(&mut self, link: Link, run: Run, rest: u64) {
         let notice = Notice {
-            rest: Some(Span::from_millis(rest)),
+            pause: Some(Span::from_millis(rest)),
             ..Notice::default()
         };
         self.tell(Input::Reply(link, run, Reply::Notice(notice, None)));
--- a/crates/core/tests/routed.rs
+++ b/crates/core/tests/routed.rs
@@ -657,7 +657,7 @@
         pool: "engines".parse().unwrap(),
         to: "v2".parse().unwrap(),
         duration: Span::from_millis(24_000),
-        number: 7.into(),
+        issued: 7.into(),
     };
     Input::Move(order, Some(State::Running), Some(stand.now))
 }
--- a/crates/core/tests/warmup.rs
+++ b/crates/core/tests/warmup.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::entry::{Entry, Input, Output, Reply};
 use sorreldeck::pick::{Link, Place};
-use sorreldeck::quarantine::Word;
+use sorreldeck::quarantine::Update;
 use sorreldeck::warmup::{Entries, Ramp};
 use sorreldeck::wire::{Frame, Run};
 use sorreldeck::{
@@ -122,7 +122,7 @@
     /// What reached each upstream that was up, and when.
     got: Vec<(Link, Time)>,
     /// What entries tell one another, and when they hear it.
-    words: Vec<(Time, Word)>,
+    words: Vec<(Time, Update)>,
     refused: usize,
 }
 
@@ -210,7 +210,7 @@
                 .into_iter()
                 .partition(|(at, _)| *at <= self.now);
             self.words = later;
-            for (_, word) in due as Vec<(Time, Word)> {
+            for (_, word) in due as Vec<(Time, Update)> {
                 self.tell(&Input::Word(word));
             }
             self.ask();
--- a/crates/core/tests/watermark.rs
+++ b/crates/core/tests/watermark.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sorreldeck::follow::Watermark;
+use sorreldeck::replication::Watermark;
 use sorreldeck::{Span, Time};
 use std::collections::BTreeSet;
 use test_case::test_case;
@@ -13,7 +13,7 @@
 fn at_ten() -> Watermark {
     let mut watermark = Watermark::new(3);
     for table in 0..3 {
-        watermark.known(table, 10, []);
+        watermark.advance(table, 10, []);
     }
     watermark
 }
@@ -29,27 +29,27 @@
 #[test_case(&[(1, 14, &[11, 12, 13, 14])], &[]; "more is known than was named")]
 fn tables_behind_a_named_version_are_asked(known: &[(usize, u64, &[u64])], asked: &[usize]) {
     let mut watermark = at_ten();
-    watermark.known(0, 13, []);
-    watermark.named(13, Time(1_000));
+    watermark.advance(0, 13, []);
+    watermark.observe(13, Time(1_000));
     for (table, version, changes) in known {
-        watermark.known(*table, *version, changes.iter().copied());
+        watermark.advance(*table, *version, changes.iter().copied());
     }
     assert!(
-        watermark.behind(Time(1_099), PATIENCE).is_empty(),
+        watermark.lagging(Time(1_099), PATIENCE).is_empty(),
         "too soon"
     );
-    assert_eq!(watermark.behind(Time(1_100), PATIENCE), asked);
+    assert_eq!(watermark.lagging(Time(1_100), PATIENCE), asked);
 }
 
 #[test]
 fn a_later_version_does_not_make_an_earlier_one_wait_anew() {
     let mut watermark = at_ten();
-    watermark.named(11, Time(0));
-    watermark.named(12, Time(90));
-    assert_eq!(watermark.behind(Time(100), PATIENCE), [0, 1, 2]);
-    watermark.known(0, 11, [11]);
-    assert!(watermark.behind(Time(100), PATIENCE).is_empty());
-    assert_eq!(watermark.behind(Time(190), PATIENCE), [0, 1, 2]);
+    watermark.observe(11, Time(0));
+    watermark.observe(12, Time(90));
+    assert_eq!(watermark.lagging(Time(100), PATIENCE), [0, 1, 2]);
+    watermark.advance(0, 11, [11]);
+    assert!(watermark.lagging(Time(100), PATIENCE).is_empty());
+    assert_eq!(watermark.lagging(Time(190), PATIENCE), [0, 1, 2]);
 }
 
 /// A store of three tables at version 10, and what was told of its later changes.
@@ -76,7 +76,7 @@
         let later = self.known[table] + 1..=newest;
         let told: Vec<u64> = later.filter(|v| self.table(*v) == table).collect();
         self.untold.retain(|v| !told.contains(v));
-        self.watermark.known(table, newest, told);
+        self.watermark.advance(table, newest, told);
         self.known[table] = newest;
     }
 }
@@ -102,8 +102,8 @@
                 true => store.answer(table),
                 false => drop(store.untold.insert(newest)),
             }
-            store.watermark.named(newest, now);
-            let asked = store.watermark.behind(now, PATIENCE);
+            store.watermark.observe(newest, now);
+            let asked = store.watermark.lagging(now, PATIENCE);
             for version in store.untold.iter().filter(|v| **v + 2 <= newest) {
                 let table = store.table(*version);
                 assert!(asked.contains(&table), "seed {seed}: {version} of {table}");
--- a/crates/core/tests/work.rs
+++ b/crates/core/tests/work.rs
@@ -18,7 +18,7 @@
 
 #[test_case(Vec::new(), "all")]
 #[test_case(says(Notice { leaving: true, ..Notice::default() }), "none: leaving")]
-#[test_case(says(Notice { rest: Some(Span::from_millis(3_000)), ..Notice::default() }), "none: rests for 3000ms")]
+#[test_case(says(Notice { pause: Some(Span::from_millis(3_000)), ..Notice::default() }), "none: rests for 3000ms")]
 #[test_case(says(Notice { limit: Some(Rate::from_per_second(0.5)), ..Notice::default() }), "part of 0.50/s, next in 1500ms")]
 #[test_case(fails(), "passed over for 250ms")]
 fn it_says_why_and_for_how_long(replies: Vec<Reply>, expected: &str) {
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -392,7 +392,7 @@
     }
 
     /// Has the sidecars tell the other entries of requests; there are no links to these.
-    fn tell_all(&self, word: &quarantine::Word) {
+    fn tell_all(&self, word: &quarantine::Update) {
         for outbox in self.links.values() {
             outbox.send(Frame::Words(vec![word.clone()]));
         }
--- a/crates/daemon/src/hosted/feed.rs
+++ b/crates/daemon/src/hosted/feed.rs
@@ -1,7 +1,7 @@
 //! Follows the tables of the platform's store.
 //!
 //! Each table is read whole once and followed from there, as far as this entry is to read
-//! it ([`Reading`]). The operator's table is asked often, which also shows in time that the
+//! it ([`Subscription`]). The operator's table is asked often, which also shows in time that the
 //! store is out of reach, and which version is its newest; the others wait long and begin
 //! anew when it was, or when a change that it named is told of by none of them.
 
@@ -12,7 +12,7 @@
 use async_std::task;
 use futures_lite::FutureExt;
 use sorreldeck::era::Stamp;
-use sorreldeck::follow::Reading;
+use sorreldeck::replication::Subscription;
 use sorreldeck::{Span, Time};
 use sorreldeck_platform::store::{Page, Trouble};
 use sorreldeck_platform::{Store, Table};
@@ -179,12 +179,12 @@
     }
 
     /// Sets what is read from now on.
-    pub fn read(&self, reading: Reading) {
+    pub fn read(&self, reading: Subscription) {
         for (number, table) in Table::ALL.iter().enumerate() {
             let task = match (reading, table) {
-                (Reading::All, _) => Task::Follow,
-                (Reading::Operator, Table::Operator) => Task::Probe,
-                (Reading::Entries, Table::Own) => Task::Once,
+                (Subscription::All, _) => Task::Follow,
+                (Subscription::Operator, Table::Operator) => Task::Probe,
+                (Subscription::Entries, Table::Own) => Task::Once,
                 _ => Task::Rest,
             };
             let wanted = &self.wanted[number];
--- a/crates/daemon/src/hosted/hints.rs
+++ b/crates/daemon/src/hosted/hints.rs
@@ -4,8 +4,8 @@
 
 use super::relay::Order;
 use sorreldeck::notice;
-use sorreldeck::quarantine::Word;
-use sorreldeck::release::Stay;
+use sorreldeck::quarantine::Update;
+use sorreldeck::release::Affinity;
 use sorreldeck::{Span, Time};
 use std::collections::BTreeMap;
 
@@ -29,11 +29,11 @@
     /// The prompts: the number of the upstream, and how long reading takes, in milliseconds.
     pub prompts: Vec<(u64, u32)>,
     /// The sessions.
-    pub stays: Vec<Stay>,
+    pub stays: Vec<Affinity>,
     /// The requests under which upstreams crashed, and when that was noted here.
-    pub words: Vec<(Word, Time)>,
+    pub words: Vec<(Update, Time)>,
     /// What upstreams said of themselves.
-    pub notices: Vec<notice::Word>,
+    pub notices: Vec<notice::Update>,
 }
 
 impl Hints {
@@ -46,9 +46,9 @@
     }
 
     /// Returns the requests as they are told now.
-    pub fn words_at(&self, now: Time) -> Vec<Word> {
+    pub fn words_at(&self, now: Time) -> Vec<Update> {
         let words = self.words.iter().cloned();
-        words.map(|(word, at)| word.later(now.since(at))).collect()
+        words.map(|(word, at)| word.delayed(now.since(at))).collect()
     }
 
     /// Puts more in line, as far as there is room.
@@ -84,11 +84,11 @@
 /// The sessions that stay at their release, as far as they are known, for entries that ask
 /// for tables later.
 #[derive(Clone, Debug, Default)]
-pub struct Stays(BTreeMap<u64, (Stay, Time)>);
+pub struct Stays(BTreeMap<u64, (Affinity, Time)>);
 
 impl Stays {
     /// Notes sessions.
-    pub fn note(&mut self, stays: &[Stay], now: Time) {
+    pub fn note(&mut self, stays: &[Affinity], now: Time) {
         for stay in stays {
             self.0.insert(stay.session, (stay.clone(), now + stay.left));
         }
@@ -98,9 +98,9 @@
     }
 
     /// Returns those whose next request may still come.
-    pub fn live(&self, now: Time) -> Vec<Stay> {
+    pub fn live(&self, now: Time) -> Vec<Affinity> {
         let live = self.0.values().filter(|(_, until)| now < *until);
-        let left = |(stay, until): &(Stay, Time)| Stay {
+        let left = |(stay, until): &(Affinity, Time)| Affinity {
             left: until.since(now),
             ..stay.clone()
         };
--- a/crates/daemon/src/hosted/holds.rs
+++ b/crates/daemon/src/hosted/holds.rs
@@ -138,7 +138,7 @@
     match (hold, record) {
         (None, record) => record.is_none(),
         (Some(_), None) => false,
-        (Some(hold), Some(record)) => record.before >= hold.before,
+        (Some(hold), Some(record)) => record.before >= hold.previous,
     }
 }
 
@@ -163,7 +163,7 @@
     }
     let record = Record {
         until_us: mirror.store_time(hold.until)?,
-        before: hold.before,
+        before: hold.previous,
         by: own.clone(),
     };
     let buf = serde_json::to_vec(&record).expect("a record is always JSON");
--- a/crates/daemon/src/hosted/mirror/mod.rs
+++ b/crates/daemon/src/hosted/mirror/mod.rs
@@ -15,8 +15,8 @@
 use super::pack;
 use super::replica::{Case, Kept, Replica, Rows, Share};
 use super::rules;
-use sorreldeck::era::{Era, Eras, Heard, Stamp};
-use sorreldeck::follow::{Peer, Watermark};
+use sorreldeck::era::{Era, Tracker, Freshness, Stamp};
+use sorreldeck::replication::{Peer, Watermark};
 use sorreldeck::quarantine::Fingerprint;
 use sorreldeck::release::{Order, State};
 use sorreldeck::wire::{Have, TableDelta};
@@ -135,7 +135,7 @@
     held: Vec<Held>,
     ignored: Vec<Ignored>,
     replaced: Vec<Replaced>,
-    eras: Eras,
+    eras: Tracker,
     /// The era before the store came back from a copy, until that is told of.
     restored: Option<Era>,
     /// Whether it ever did in this life.
@@ -157,7 +157,7 @@
             held: Vec::new(),
             ignored: Vec::new(),
             replaced: Vec::new(),
-            eras: Eras::default(),
+            eras: Tracker::default(),
             restored: None,
             was_restored: false,
         }
@@ -259,7 +259,7 @@
     }
 
     /// Takes in of which era a page is that the store gave in answer to a call begun at `asked`. After
-    /// a [restore](Heard::Restored) nothing but whole tables may be [applied](Mirror::apply).
+    /// a [restore](Freshness::Restored) nothing but whole tables may be [applied](Mirror::apply).
     pub fn hear(
         &mut self,
         table: Table,
@@ -267,9 +267,9 @@
         whole: bool,
         asked: Time,
         now: Time,
-    ) -> Heard {
+    ) -> Freshness {
         let fell = whole && self.base(table).is_some_and(|known| page.version < known);
-        let heard = self.eras.hear(page.era, fell, asked, now);
+        let heard = self.eras.observe(page.era, fell, asked, now);
         self.note_era(heard);
         heard
     }
@@ -277,13 +277,13 @@
     /// Takes in the era of what another entry tells of a table; returns whether it is later than what
     /// is known of that.
     fn is_news(&mut self, table: Table, told: Stamp, now: Time) -> bool {
-        let heard = self.eras.learn(told.era, now);
+        let heard = self.eras.observe_peer(told.era, now);
         self.note_era(heard);
-        heard != Heard::Late && told > self.stamp(table)
+        heard != Freshness::Stale && told > self.stamp(table)
     }
 
-    fn note_era(&mut self, heard: Heard) {
-        if let Heard::Restored { before } = heard {
+    fn note_era(&mut self, heard: Freshness) {
+        if let Freshness::Restored { before } = heard {
             self.restored.get_or_insert(before);
             self.was_restored = true;
             self.watermark = Watermark::new(Table::ALL.len());
@@ -332,7 +332,7 @@
             return Vec::new();
         }
         let news = self.put(table, page, whole, Vec::new(), now);
-        self.watermark.named(version, now);
+        self.watermark.observe(version, now);
         news
     }
 
@@ -349,7 +349,7 @@
         let copy = self.tables.entry(table).or_default();
         let before = copy.stamp;
         let changes = page.rows.iter().map(|row| row.version);
-        self.watermark.known(table as usize, page.version, changes);
+        self.watermark.advance(table as usize, page.version, changes);
         let fate = |case: &Case<'_>| rules::fate(table, case);
         let mut changed = copy.take(page, era, whole, fate);
         changed.extend(copy.keep(kept));
@@ -396,7 +396,7 @@
     /// Returns the tables that must be asked anew, since the store named a version that long
     /// ago whose change was told of by no table.
     pub fn behind(&self, now: Time, patience: Span) -> Vec<Table> {
-        let behind = self.watermark.behind(now, patience).into_iter();
+        let behind = self.watermark.lagging(now, patience).into_iter();
         behind.filter_map(|n| Table::ALL.get(n).copied()).collect()
     }
 
--- a/crates/daemon/src/hosted/mover.rs
+++ b/crates/daemon/src/hosted/mover.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use async_std::task;
 use log::{info, warn};
-use sorreldeck::release::{Grounds, Order, State};
+use sorreldeck::release::{Totals, Order, State};
 use sorreldeck::{InstanceId, Span, Time};
 use sorreldeck_platform::store::{Change, Row, MOVE};
 use sorreldeck_platform::{release, Store, Table};
@@ -42,7 +42,7 @@
     /// The state that ought to be recorded.
     pub state: State,
     /// What the move is judged by, for the log.
-    pub grounds: Grounds,
+    pub grounds: Totals,
     /// Whether this entry reads the store.
     pub reads: bool,
 }
@@ -159,7 +159,7 @@
     let mut rows = mirror.rows(Table::Operator);
     let asks_for = |row: &&Row| {
         let value = row.value.as_deref().filter(|_| row.key.starts_with(MOVE));
-        let read = value.map(|buf| release::decode(buf, order.number));
+        let read = value.map(|buf| release::decode(buf, order.issued));
         read.is_some_and(|read| read.is_ok_and(|read| read == *order))
     };
     Some(rows.find(asks_for)?.key.clone())
--- a/crates/daemon/src/hosted/relay.rs
+++ b/crates/daemon/src/hosted/relay.rs
@@ -2,7 +2,7 @@
 //! prompts that they sent, the sessions that stay at their release, the requests under which
 //! upstreams crashed and what upstreams said of themselves.
 //!
-//! [`sorreldeck::follow`] decides whom this entry has the tables from; here stand the
+//! [`sorreldeck::replication`] decides whom this entry has the tables from; here stand the
 //! messages to and from those, and to the entries that have the tables from here. There is
 //! no socket and no clock: frames go in, orders come out.
 
@@ -12,11 +12,11 @@
 use super::mirror::{Mirror, News, Taken};
 use sorreldeck::duty::{Part, Tally};
 use sorreldeck::era::Stamp;
-use sorreldeck::follow::{Action, Bounds, Follow, Peer, Reading, Word};
+use sorreldeck::replication::{Action, Timeouts, Planner, Peer, Subscription, Status};
 use sorreldeck::notice;
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine;
-use sorreldeck::release::{Report, Stay};
+use sorreldeck::release::{Report, Affinity};
 use sorreldeck::wire::{self, Feed, Frame, TABLES};
 use sorreldeck::{AccountId, Hall, InstanceId, PoolId, Span, Time};
 use sorreldeck_platform::Table;
@@ -49,7 +49,7 @@
     /// Send a frame.
     Send(Link, Frame),
     /// Read this much of the store; others may have its tables from here.
-    Read(Reading),
+    Read(Subscription),
     /// Break off the wait for a table and ask for it at once.
     Ask(Table),
     /// Take in what the entries of a data hall found.
@@ -57,11 +57,11 @@
     /// Take in that an entry sent an upstream a prompt that takes this long to be read.
     Reads(u64, Span),
     /// Take in that an entry serves a session that stays at its release.
-    Stays(Stay),
+    Stays(Affinity),
     /// Take in what an entry tells of requests under which upstreams crashed.
-    Word(quarantine::Word),
+    Word(quarantine::Update),
     /// Take in what an upstream said of itself to another entry.
-    Notice(notice::Word),
+    Notice(notice::Update),
 }
 
 /// An entry that has the tables from here.
@@ -97,7 +97,7 @@
 /// The links over which tables go from entry to entry.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    follow: Follow,
+    follow: Planner,
     own: Peer,
     sources: BTreeMap<Link, Source>,
     takers: BTreeMap<Link, Taker>,
@@ -124,9 +124,9 @@
 
 impl Relay {
     /// Creates the links of an entry; none is open.
-    pub fn new(own: Peer, bounds: Bounds) -> Relay {
+    pub fn new(own: Peer, bounds: Timeouts) -> Relay {
         Relay {
-            follow: Follow::new(own.clone(), bounds),
+            follow: Planner::new(own.clone(), bounds),
             own,
             sources: BTreeMap::new(),
             takers: BTreeMap::new(),
@@ -161,7 +161,7 @@
     }
 
     /// Returns from whom this entry has the tables.
-    pub fn follow(&self) -> &Follow {
+    pub fn follow(&self) -> &Planner {
         &self.follow
     }
 
@@ -177,12 +177,12 @@
 
     /// Notes an entry that announced itself.
     pub fn learn(&mut self, peer: Peer) {
-        self.follow.learn(peer);
+        self.follow.add_peer(peer);
     }
 
     /// Notes that the list of entries is known.
     pub fn listed(&mut self, now: Time) {
-        self.follow.listed(now);
+        self.follow.set_listed(now);
     }
 
     /// Notes that the store has answered for a table.
@@ -199,12 +199,12 @@
                 self.asked = [now; TABLES];
             }
             self.operator = now;
-            self.follow.reached(now);
+            self.follow.store_answered(now);
         }
         if !self.reads_store() || self.answered.contains(&false) {
             return;
         }
-        self.follow.complete(self.operator);
+        self.follow.record_sync(self.operator);
         for taker in self.takers.values_mut() {
             taker.sent = Time::default();
         }
@@ -224,7 +224,7 @@
         if table == Table::Operator {
             self.failing = true;
             self.answered = [false; TABLES];
-            self.follow.missed();
+            self.follow.store_failed();
         }
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Notes that this entry serves a session that stays at its release.
-    pub fn note_stay(&mut self, stay: Stay, now: Time) {
+    pub fn note_stay(&mut self, stay: Affinity, now: Time) {
         let stays = vec![stay];
         self.stays.note(&stays, now);
         self.hint(Hints {
@@ -258,7 +258,7 @@
     }
 
     /// Notes what this entry tells of requests under which upstreams crashed.
-    pub fn note_word(&mut self, word: quarantine::Word, now: Time) {
+    pub fn note_word(&mut self, word: quarantine::Update, now: Time) {
         self.hint(Hints {
             words: vec![(word, now)],
             ..Hints::default()
@@ -266,7 +266,7 @@
     }
 
     /// Notes what an upstream said of itself to this entry.
-    pub fn note_notice(&mut self, word: notice::Word) {
+    pub fn note_notice(&mut self, word: notice::Update) {
         self.hint(Hints {
             notices: vec![word],
             ..Hints::default()
@@ -304,10 +304,10 @@
         now: Time,
     ) -> Vec<Order> {
         let Some(link) = link else {
-            self.follow.closed(&name, now);
+            self.follow.link_closed(&name, now);
             return Vec::new();
         };
-        if !self.follow.opened(&name, now) {
+        if !self.follow.link_opened(&name, now) {
             // Kept, it would make the other end read the store for good.
             return vec![Order::Close(link)];
         }
@@ -333,7 +333,7 @@
     /// whole, which is what a hundred entries that start together wait for.
     fn asks_at_once(&self, source: &InstanceId, mirror: &Mirror) -> bool {
         let is_first = !self.sources.values().any(|s| s.asked);
-        mirror.is_informed() || (is_first && self.follow.is_near(source))
+        mirror.is_informed() || (is_first && self.follow.is_same_hall(source))
     }
 
     /// Asks the other sources once one has told what there is, or has had the time to.
@@ -358,7 +358,7 @@
     pub fn closed(&mut self, link: Link, now: Time) {
         self.takers.remove(&link);
         if let Some(source) = self.sources.remove(&link) {
-            self.follow.closed(&source.name, now);
+            self.follow.link_closed(&source.name, now);
         }
     }
 
@@ -380,16 +380,16 @@
     /// Returns what is to be done as time passes.
     pub fn step(&mut self, mirror: &mut Mirror, now: Time) -> Vec<Order> {
         if mirror.is_informed() {
-            self.follow.informed();
+            self.follow.set_configured();
         }
-        self.follow.asked(!self.takers.is_empty());
+        self.follow.set_requested(!self.takers.is_empty());
         self.primary = self.follow.primary(now).cloned();
         let mut orders = Vec::new();
         for action in self.follow.step(now) {
             match action {
                 Action::Open(name, address) => orders.push(Order::Open(name, address)),
                 Action::Read(reading) => {
-                    self.failing &= reading != Reading::Nothing;
+                    self.failing &= reading != Subscription::Nothing;
                     self.answered = [false; TABLES];
                     self.asked = [now; TABLES];
                     orders.push(Order::Read(reading));
@@ -419,7 +419,7 @@
         if !self.reads_store() || self.failing {
             return Vec::new();
         }
-        for table in mirror.behind(now, self.follow.bounds().missing) {
+        for table in mirror.behind(now, self.follow.timeouts().version_gap) {
             self.answered[table as usize] = false;
         }
         let mut orders = Vec::new();
@@ -444,7 +444,7 @@
 
     fn hand_to(&mut self, link: Link, mirror: &mut Mirror, now: Time) -> Option<Order> {
         let taker = self.takers.get(&link)?;
-        let due = now.since(taker.sent) >= self.follow.bounds().beat;
+        let due = now.since(taker.sent) >= self.follow.timeouts().heartbeat;
         let told = !taker.hints.is_empty() && now.since(taker.sent) >= GATHER_HINTS;
         let mut tables = Vec::new();
         for (table, have) in Table::ALL.iter().zip(&taker.have) {
@@ -462,7 +462,7 @@
             false => Vec::new(),
         };
         let feed = Feed {
-            heard_us: self.follow.heard_at().and_then(|at| mirror.store_time(at)),
+            heard_us: self.follow.last_sync().and_then(|at| mirror.store_time(at)),
             clock_us: mirror.store_time(now),
             era: mirror.era(),
             leaving: self.leaving,
@@ -486,7 +486,7 @@
 
     /// Tells the sources that this entry is there, and what it has found since.
     fn tell_sources(&mut self, mirror: &Mirror, now: Time) -> Vec<Order> {
-        let beat = self.follow.bounds().beat;
+        let beat = self.follow.timeouts().heartbeat;
         let changes = self.found.changes();
         let mut orders = Vec::new();
         let has_found = self.found.has_any_by(&self.own.name);
@@ -499,7 +499,7 @@
         let parts = parts.map_or(Vec::new(), |c| c.due(leaving, now));
         let epoch = own_epoch(mirror, now).filter(|_| self.counted.is_some());
         for (link, source) in &mut self.sources {
-            let is_near = self.follow.is_near(&source.name);
+            let is_near = self.follow.is_same_hall(&source.name);
             let counts = counts_for(source, &parts, self.counted.as_ref().filter(|_| is_near));
             let passed = now.since(source.sent);
             let news = source.found < changes && has_found && passed >= beat;
@@ -538,7 +538,7 @@
 
     /// Returns whether this entry reads all tables of the store itself.
     fn reads_store(&self) -> bool {
-        self.follow.reading() == Reading::All
+        self.follow.subscription() == Subscription::All
     }
 
     /// Returns what tells a source that this entry is there, and nothing more.
@@ -562,7 +562,7 @@
     /// data hall, which may have just started, is told of all sessions; others have them from
     /// their own.
     fn ask(&self, source: &InstanceId, mirror: &Mirror, now: Time) -> Frame {
-        let stays = match self.follow.is_near(source) {
+        let stays = match self.follow.is_same_hall(source) {
             true => self.stays.live(now),
             false => Vec::new(),
         };
@@ -658,7 +658,7 @@
             counted.agree(feed.epoch_us);
         }
         let name = source.name.clone();
-        let is_near = self.follow.is_near(&name);
+        let is_near = self.follow.is_same_hall(&name);
         let mut news = Vec::new();
         let mut gap = false;
         for delta in feed.tables {
@@ -673,11 +673,11 @@
         // So would that of a source which does not know yet that the store came back from a copy.
         let is_current = !gap && feed.era >= mirror.era();
         let heard = feed.heard_us.filter(|_| is_current);
-        let word = Word {
-            store: heard.and_then(|micros| mirror.own_time(micros)),
+        let word = Status {
+            last_sync: heard.and_then(|micros| mirror.own_time(micros)),
             leaving: feed.leaving,
         };
-        self.follow.heard(&name, word, now);
+        self.follow.record_status(&name, word, now);
         let hints = Hints {
             prompts: feed.sent,
             stays: feed.stays,
--- a/crates/daemon/src/hosted/replica.rs
+++ b/crates/daemon/src/hosted/replica.rs
@@ -2,7 +2,7 @@
 //! they can be handed on one by one.
 
 use super::pack::{self, Handed};
-use sorreldeck::era::{Copied, Era, Fate, Past, Seen, Stamp, Standing, Was};
+use sorreldeck::era::{Backup, Era, Resolution, History, RowState, Stamp, Comparison, Prior};
 use sorreldeck::wire;
 use sorreldeck::Span;
 use sorreldeck_platform::store::{Page, Row};
@@ -66,7 +66,7 @@
     /// The key.
     pub key: &'a str,
     /// What the store holds of it, against what was known.
-    pub standing: Standing,
+    pub standing: Comparison,
     /// What was known of it.
     pub known: Option<&'a Row>,
     /// What the store holds of it.
@@ -83,7 +83,7 @@
     /// What holds in place of these, or besides them.
     kept: BTreeMap<String, Kept>,
     /// What rows were before.
-    past: Past,
+    past: History,
     /// The keys of rows that were there and are not any more, the latest of them.
     gone: BTreeSet<String>,
     /// The latest changes, in the order of their versions.
@@ -110,7 +110,7 @@
         page: Page,
         era: Era,
         whole: bool,
-        fate: impl Fn(&Case) -> Fate,
+        fate: impl Fn(&Case) -> Resolution,
     ) -> Vec<String> {
         self.remember(&page, whole);
         let before = std::mem::replace(&mut self.stamp, Stamp::new(era, page.version));
@@ -207,13 +207,13 @@
         &mut self,
         rows: Vec<Row>,
         newest: u64,
-        fate: impl Fn(&Case) -> Fate,
+        fate: impl Fn(&Case) -> Resolution,
     ) -> Vec<String> {
         let era = self.stamp.era;
         let rows = rows.into_iter().filter(|row| row.value.is_some());
         let rows: BTreeMap<String, Row> = rows.map(|row| (row.key.clone(), row)).collect();
         let is_same = |row: &&Row| self.row(&row.key) == Some(*row);
-        let copied = Copied::of(rows.values().filter(is_same).map(|row| row.version));
+        let copied = Backup::estimate(rows.values().filter(is_same).map(|row| row.version));
         let mut keys: BTreeSet<String> = rows.keys().cloned().collect();
         keys.extend(self.rows.keys().chain(self.kept.keys()).cloned());
         let (mut stored, mut kept, mut changed) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
@@ -227,13 +227,13 @@
                 stored: new,
             };
             let since = match case.standing {
-                Standing::Same => self.row_stamp(&key).map_or(era, |stamp| stamp.era),
+                Comparison::Same => self.row_stamp(&key).map_or(era, |stamp| stamp.era),
                 _ => era,
             };
             match fate(&case) {
-                Fate::Keep(left) => drop(kept.insert(key.clone(), self.as_kept(&key, left))),
-                Fate::Take if value(known) != value(new) => changed.push(key.clone()),
-                Fate::Take => {}
+                Resolution::Retain(left) => drop(kept.insert(key.clone(), self.as_kept(&key, left))),
+                Resolution::Replace if value(known) != value(new) => changed.push(key.clone()),
+                Resolution::Replace => {}
             }
             if let Some(row) = new.cloned() {
                 stored.insert(key, Stored { row, since });
@@ -246,14 +246,14 @@
     }
 
     /// Returns what the store holds of a row after it came back, against what was known.
-    fn standing(&self, key: &str, stored: Option<&Row>, copied: &Copied, newest: u64) -> Standing {
-        let unknown = Copied::default();
+    fn standing(&self, key: &str, stored: Option<&Row>, copied: &Backup, newest: u64) -> Comparison {
+        let unknown = Backup::default();
         // What was kept before is of another history than what was copied.
         let copied = match self.kept.contains_key(key) {
             true => &unknown,
             false => copied,
         };
-        Standing::of(
+        Comparison::of(
             stored.and_then(seen),
             self.was(key),
             &self.past,
@@ -278,11 +278,11 @@
     }
 
     /// Returns what is known of a row.
-    fn was(&self, key: &str) -> Was<'_> {
+    fn was(&self, key: &str) -> Prior<'_> {
         match self.row(key).and_then(seen) {
-            Some(seen) => Was::Seen(seen),
-            None if self.gone.contains(key) => Was::Dropped,
-            None => Was::Unknown,
+            Some(seen) => Prior::Present(seen),
+            None if self.gone.contains(key) => Prior::Deleted,
+            None => Prior::Unknown,
         }
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// Takes rows of the same era in; returns the keys that changed.
-    fn merge(&mut self, rows: Vec<Row>, whole: bool, fate: impl Fn(&Case) -> Fate) -> Vec<String> {
+    fn merge(&mut self, rows: Vec<Row>, whole: bool, fate: impl Fn(&Case) -> Resolution) -> Vec<String> {
         let mut changed = Vec::new();
         let mut noted = BTreeSet::new();
         if whole {
@@ -345,17 +345,17 @@
     }
 
     /// Returns whether what is kept of a row holds though the row was written since.
-    fn still_holds(&self, row: &Row, fate: impl Fn(&Case) -> Fate) -> bool {
+    fn still_holds(&self, row: &Row, fate: impl Fn(&Case) -> Resolution) -> bool {
         let Some(kept) = self.kept.get(&row.key) else {
             return false;
         };
         let case = Case {
             key: &row.key,
-            standing: Standing::Written,
+            standing: Comparison::New,
             known: Some(&kept.row).filter(|row| row.value.is_some()),
             stored: Some(row).filter(|row| row.value.is_some()),
         };
-        fate(&case) != Fate::Take
+        fate(&case) != Resolution::Replace
     }
 
     /// Drops a row of the store and remembers what it was; returns whether there was one.
@@ -376,7 +376,7 @@
 
     fn remember_past(&mut self, row: &Row) {
         if let Some(row) = seen(row) {
-            self.past.note(row);
+            self.past.insert(row);
         }
     }
 
@@ -454,8 +454,8 @@
 }
 
 /// Returns what is compared of a row.
-fn seen(row: &Row) -> Option<Seen<'_>> {
-    Some(Seen {
+fn seen(row: &Row) -> Option<RowState<'_>> {
+    Some(RowState {
         key: &row.key,
         version: row.version,
         value: row.value.as_deref()?,
--- a/crates/daemon/src/hosted/room.rs
+++ b/crates/daemon/src/hosted/room.rs
@@ -22,8 +22,8 @@
 use sorreldeck::entry::{
     Ask, Done, Entry, Input, Output, Part, Reply, Settings as Decisions, What,
 };
-use sorreldeck::era::Heard;
-use sorreldeck::follow::{Bounds, Peer, Reading};
+use sorreldeck::era::Freshness;
+use sorreldeck::replication::{Timeouts, Peer, Subscription};
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine::{self, Fingerprint, Hold};
 use sorreldeck::wire::{Frame, Run};
@@ -195,7 +195,7 @@
             cores: settings.cores,
             mbps: settings.mbps,
         };
-        let bounds = Bounds::of(settings.in_force);
+        let bounds = Timeouts::of(settings.in_force);
         let send = shared.send.clone();
         let duties = Duties::new(settings, shared.incarnation, store.clone(), send);
         decisions.counts = duties.is_some();
@@ -316,7 +316,7 @@
         self.wake();
         self.handle(Input::Tick);
         let now = self.clock.now();
-        let heard = self.relay.follow().heard_at();
+        let heard = self.relay.follow().last_sync();
         let lapsed = self.mirror.tick(now, heard);
         self.note_all(lapsed, "lapsed");
         let ready = self.entry.is_ready() && !stopping;
@@ -331,7 +331,7 @@
         self.tell_of_state(now);
         self.recorder
             .step(now, &self.mirror, &self.store, &self.shared.send);
-        let reads = self.relay.follow().reading() == Reading::All;
+        let reads = self.relay.follow().subscription() == Subscription::All;
         self.do_duties(reads, now);
         self.restorer
             .step(now, reads, &self.mirror, &self.store, &self.shared.send);
@@ -415,7 +415,7 @@
             }
             Message::Store(table, Update::Page(Read { page, whole, asked })) => {
                 let now = self.clock.now();
-                if self.mirror.hear(table, &page, whole, asked, now) == Heard::Late {
+                if self.mirror.hear(table, &page, whole, asked, now) == Freshness::Stale {
                     return;
                 }
                 self.note_restored("store");
@@ -524,16 +524,16 @@
             self.feed
                 .known(table, known.map(|_| self.mirror.stamp(table)));
         }
-        let wait = self.relay.follow().bounds().wait;
-        let before = self.relay.follow().reading();
+        let wait = self.relay.follow().timeouts().long_poll;
+        let before = self.relay.follow().subscription();
         let orders = self.relay.step(&mut self.mirror, now);
-        let reads_all = self.relay.follow().reading() == Reading::All;
+        let reads_all = self.relay.follow().subscription() == Subscription::All;
         self.feed.wait_at_most(reads_all.then_some(wait));
         self.carry_out(orders);
         let follow = self.relay.follow();
-        let reading = follow.reading();
+        let reading = follow.subscription();
         let sources: Vec<String> = follow.sources(now).iter().map(|s| s.to_string()).collect();
-        if reading == Reading::Nothing && !sources.is_empty() {
+        if reading == Subscription::Nothing && !sources.is_empty() {
             self.failing_since = None;
         }
         if reading != before || sources != self.sources {
@@ -697,7 +697,7 @@
                 let origin = self.origin(Table::Progress, from);
                 info!(
                     "event=move pool={} to={} number={} state={state:?} began={began:?} {origin}",
-                    order.pool, order.to, order.number
+                    order.pool, order.to, order.issued
                 );
                 self.handle(Input::Move(order, state, began));
             }
@@ -733,7 +733,7 @@
         if let Some(until) = self.mirror.own_time(record.until_us) {
             let hold = Hold {
                 until,
-                before: record.before,
+                previous: record.before,
                 is_own: record.by == self.own.name,
             };
             self.handle(Input::Held(fingerprint, hold));
@@ -898,13 +898,13 @@
     }
 
     /// Has it recorded that a request is held back, or not any more.
-    fn record(&mut self, news: quarantine::News) {
+    fn record(&mut self, news: quarantine::Change) {
         let now = self.clock.now();
         match news {
-            quarantine::News::Held(fingerprint, hold, _) => {
+            quarantine::Change::Held(fingerprint, hold, _) => {
                 self.recorder.want(fingerprint, Some(hold), now);
             }
-            quarantine::News::Freed(fingerprint) => self.recorder.want(fingerprint, None, now),
+            quarantine::Change::Freed(fingerprint) => self.recorder.want(fingerprint, None, now),
         }
     }
 
--- a/crates/daemon/src/hosted/rules.rs
+++ b/crates/daemon/src/hosted/rules.rs
@@ -2,19 +2,19 @@
 //! from a copy.
 
 use super::replica::Case;
-use sorreldeck::era::{Fate, Kind, Known};
+use sorreldeck::era::{Resolution, Kind, Local};
 use sorreldeck_platform::store::{Row, CONFIG};
 use sorreldeck_platform::{config, member, Table};
 
 /// Decides whether what was known of a row holds.
-pub fn fate(table: Table, case: &Case) -> Fate {
+pub fn fate(table: Table, case: &Case) -> Resolution {
     let kind = kind(table, case.key);
     let known = match (case.known, case.stored) {
-        (None, _) => Known::Gone,
-        (Some(known), Some(stored)) if is_later(kind, known, stored) => Known::Later,
-        (Some(_), _) => Known::Present,
+        (None, _) => Local::Absent,
+        (Some(known), Some(stored)) if is_later(kind, known, stored) => Local::Newer,
+        (Some(_), _) => Local::Present,
     };
-    Fate::of(kind, case.standing, known)
+    Resolution::of(kind, case.standing, known)
 }
 
 fn kind(table: Table, key: &str) -> Kind {
--- a/crates/daemon/tests/relay/main.rs
+++ b/crates/daemon/tests/relay/main.rs
@@ -7,11 +7,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::era::Era;
-use sorreldeck::follow::{Bounds, Peer, Reading};
+use sorreldeck::replication::{Timeouts, Peer, Subscription};
 use sorreldeck::notice;
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine::{self, Fingerprint};
-use sorreldeck::release::Stay;
+use sorreldeck::release::Affinity;
 use sorreldeck::wire::Frame;
 use sorreldeck::{InstanceId, Span, Time};
 use sorreldeck_platform::store::{Page, Row};
@@ -108,7 +108,7 @@
         // Links take long to open while all entries start.
         world.slow_until = world.now + Span::from_millis(1_000);
         world.pass(1_000);
-        let reads = |n: &&Node| n.reading == Reading::All;
+        let reads = |n: &&Node| n.reading == Subscription::All;
         assert_eq!(world.nodes.iter().filter(reads).count(), 3, "seed {seed}");
         // Readers tell those of the two other data halls, one entry of each stands by with the
         // tables from the reader, and the others have them from both.
@@ -120,11 +120,11 @@
             let sources = node.relay.follow().sources(world.now);
             let near = sources.iter().filter(|s| hall(s) == node.peer.hall).count();
             let found = (node.reading, near, sources.len() - near);
-            let is_right = matches!(found, (Reading::All, 0, 2) | (Reading::Nothing, 1 | 2, 0));
+            let is_right = matches!(found, (Subscription::All, 0, 2) | (Subscription::Nothing, 1 | 2, 0));
             assert!(is_right, "seed {seed}: {found:?}");
         }
         let ones = world.nodes.iter().filter(|n| {
-            n.reading == Reading::Nothing && n.relay.follow().sources(world.now).len() == 1
+            n.reading == Subscription::Nothing && n.relay.follow().sources(world.now).len() == 1
         });
         assert_eq!(ones.count(), 3, "seed {seed}");
     }
@@ -165,12 +165,12 @@
     let before = world.store.calls;
     let until = world.now + Span::from_millis(6_000);
     for node in 0..world.nodes.len() {
-        if world.nodes[node].reading == Reading::All {
+        if world.nodes[node].reading == Subscription::All {
             world.kill(node, until);
         }
     }
     world.pass(250);
-    let reading = world.nodes.iter().filter(|n| n.reading == Reading::All);
+    let reading = world.nodes.iter().filter(|n| n.reading == Subscription::All);
     assert!((4..=12).contains(&reading.count()));
     let calls = world.store.calls - before;
     assert!(calls < 100, "{calls} calls in 5 s");
@@ -217,7 +217,7 @@
     };
     // Who ranks last reads nothing.
     for own in names.iter().map(peer) {
-        let mut relay = Relay::new(own, Bounds::of(LIMITS[2]));
+        let mut relay = Relay::new(own, Timeouts::of(LIMITS[2]));
         names.iter().map(peer).for_each(|p| relay.learn(p));
         relay.listed(Time(1));
         let mut mirror = Mirror::default();
@@ -230,7 +230,7 @@
                 relay.opened(name, links.last().copied(), &mirror, Time(1));
             }
         }
-        if relay.follow().reading() != Reading::All {
+        if relay.follow().subscription() != Subscription::All {
             return (relay, mirror, links);
         }
     }
@@ -258,7 +258,7 @@
         .iter()
         .all(|n| n.uses.len() == UPSTREAMS as usize));
     let until = world.now + Span::from_millis(8_000);
-    for node in world.nodes.iter_mut().filter(|n| n.reading == Reading::All) {
+    for node in world.nodes.iter_mut().filter(|n| n.reading == Subscription::All) {
         node.alone_until = until;
         node.impaired(until);
     }
@@ -300,8 +300,8 @@
     }
 }
 
-fn stay(session: u64) -> Stay {
-    Stay {
+fn stay(session: u64) -> Affinity {
+    Affinity {
         pool: "engines".parse().unwrap(),
         release: "v1".parse().unwrap(),
         session,
@@ -356,10 +356,10 @@
 #[test_case(4, 80; "eighty entries")]
 fn all_entries_are_told_of_requests_under_which_upstreams_crashed(halls: usize, entries: usize) {
     let world = each_tells(13, halls, entries, |relay, number, now| {
-        let word = quarantine::Word::Lost {
+        let word = quarantine::Update::Crashed {
             upstream: number,
             ago_ms: 0,
-            there: vec![Fingerprint::of(&[b"request"])],
+            requests: vec![Fingerprint::of(&[b"request"])],
         };
         relay.note_word(word, now);
     });
@@ -369,8 +369,8 @@
     // What is gathered before it is told says so.
     let waited = world.nodes.iter().flat_map(|node| &node.words);
     let longest = waited.map(|word| match word {
-        quarantine::Word::Lost { ago_ms, .. } => *ago_ms,
-        quarantine::Word::Answered(_) => 0,
+        quarantine::Update::Crashed { ago_ms, .. } => *ago_ms,
+        quarantine::Update::Answered(_) => 0,
     });
     assert!(longest.max().is_some_and(|ago| (20..400).contains(&ago)));
 }
@@ -381,7 +381,7 @@
 #[test_case(4, 80; "eighty entries")]
 fn all_entries_are_told_of_what_upstreams_said_of_themselves(halls: usize, entries: usize) {
     let world = each_tells(14, halls, entries, |relay, number, _| {
-        relay.note_notice(notice::Word {
+        relay.note_notice(notice::Update {
             upstream: number,
             change: notice::Change::Unlimited,
         });
@@ -392,10 +392,10 @@
     });
 }
 
-fn crashed(word: &quarantine::Word) -> Option<u64> {
+fn crashed(word: &quarantine::Update) -> Option<u64> {
     match word {
-        quarantine::Word::Lost { upstream, .. } => Some(*upstream),
-        quarantine::Word::Answered(_) => None,
+        quarantine::Update::Crashed { upstream, .. } => Some(*upstream),
+        quarantine::Update::Answered(_) => None,
     }
 }
 
@@ -407,7 +407,7 @@
     let now = world.now;
     world.nodes[0].relay.note_stay(stay(7), now);
     world.pass(15);
-    let mut readers = (2..30).filter(|n| world.nodes[*n].reading == Reading::All);
+    let mut readers = (2..30).filter(|n| world.nodes[*n].reading == Subscription::All);
     let reader = readers.next().unwrap();
     for starts in [1, reader] {
         world.kill(starts, now + Span::from_millis(600));
@@ -428,7 +428,7 @@
     };
     let play = |_| {
         let began = std::time::Instant::now();
-        let mut relay = Relay::new(peer(0), Bounds::of(LIMITS[1]));
+        let mut relay = Relay::new(peer(0), Timeouts::of(LIMITS[1]));
         for i in 1..400 {
             relay.learn(peer(i));
         }
--- a/crates/daemon/tests/restore_search.rs
+++ b/crates/daemon/tests/restore_search.rs
@@ -4,7 +4,7 @@
 //! `SORRELDECK_DEPTH` sets the number of events.
 
 use serde_json::{json, Value};
-use sorreldeck::era::{Era, Heard, Stamp};
+use sorreldeck::era::{Era, Freshness, Stamp};
 use sorreldeck::{Span, Time};
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
@@ -256,7 +256,7 @@
         };
         let whole = since.is_none();
         let heard = entry.mirror.hear(table, &page, whole, NOW, NOW);
-        assert_ne!(heard, Heard::Late);
+        assert_ne!(heard, Freshness::Stale);
         let news = entry.mirror.apply(table, page, whole, NOW);
         entry.note(news);
     }
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -1,7 +1,7 @@
 //! What holds of the store's tables after it came back from a copy.
 
 use serde_json::json;
-use sorreldeck::era::{Era, Heard, Stamp};
+use sorreldeck::era::{Era, Freshness, Stamp};
 use sorreldeck::release::State;
 use sorreldeck::{Span, Time};
 use sorreldeck_platform::store::{Page, Row};
@@ -57,7 +57,7 @@
         let page = self.page(rows, version);
         let (asked, now) = (at(self.now), at(self.now) + Span::from_micros(1));
         let heard = self.mirror.hear(table, &page, whole, asked, now);
-        assert_ne!(heard, Heard::Late);
+        assert_ne!(heard, Freshness::Stale);
         self.mirror.apply(table, page, whole, at(self.now))
     }
 
@@ -375,7 +375,7 @@
 
 fn moves(news: &[News]) -> Vec<(Stamp, Option<State>)> {
     let told = news.iter().filter_map(|news| match news {
-        News::Move(order, state, _) => Some((order.number, *state)),
+        News::Move(order, state, _) => Some((order.issued, *state)),
         _ => None,
     });
     told.collect()
@@ -514,7 +514,7 @@
     let heard = follower
         .mirror
         .hear(Table::Operator, &late, true, asked, now);
-    assert_eq!(heard, Heard::Late);
+    assert_eq!(heard, Freshness::Stale);
     assert_eq!(
         follower.mirror.stamp(Table::Operator),
         Stamp::new(Era(5), 20)
--- a/crates/emulator/src/crash/world.rs
+++ b/crates/emulator/src/crash/world.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::entry::{Entry, Input, Output, Part, Reply};
 use sorreldeck::pick::Link;
-use sorreldeck::quarantine::{Fingerprint, Hold, News, Word};
+use sorreldeck::quarantine::{Fingerprint, Hold, Change, Update};
 use sorreldeck::wire::{Frame, Run};
 use sorreldeck::{Failure, Reason, RequestId, Span, Time, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
     CrashAll,
     Lapse(Link),
     Back,
-    Word(usize, Word),
+    Word(usize, Update),
     Record(usize, Fingerprint, Option<Hold>),
     Tick,
     Restart,
@@ -287,7 +287,7 @@
                         let at = self.after_ms(20, 150);
                         // What is known of the way is known but for some ms.
                         let way = at.since(self.now) - Span::from_millis(8);
-                        let word = word.clone().later(way);
+                        let word = word.clone().delayed(way);
                         self.at(at, Event::Word(other, word));
                     }
                 }
@@ -297,17 +297,17 @@
         }
     }
 
-    fn record(&mut self, entry: usize, news: News) {
+    fn record(&mut self, entry: usize, news: Change) {
         let (fingerprint, hold) = match news {
-            News::Held(fingerprint, hold, _) => (fingerprint, Some(hold)),
-            News::Freed(fingerprint) => (fingerprint, None),
+            Change::Held(fingerprint, hold, _) => (fingerprint, Some(hold)),
+            Change::Freed(fingerprint) => (fingerprint, None),
         };
         if hold.is_some() {
             self.note_known(entry, fingerprint);
         }
         let known = self.records.get(&fingerprint).copied();
         let is_new = match (known, hold) {
-            (Some((known, _)), Some(hold)) => hold.before > known.before,
+            (Some((known, _)), Some(hold)) => hold.previous > known.previous,
             (known, hold) => known.is_some() != hold.is_some(),
         };
         if !is_new {
--- a/crates/emulator/src/notice/world.rs
+++ b/crates/emulator/src/notice/world.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::entry::{Entry, Input, Output, Part, Reply, Routed};
-use sorreldeck::notice::{Notice, Word};
+use sorreldeck::notice::{Notice, Update};
 use sorreldeck::pick::{Link, Place, Prefix};
 use sorreldeck::wire::{Frame, Run};
 use sorreldeck::{Failure, InstanceId, Rate, Reason, RequestId, Span, Time};
@@ -37,7 +37,7 @@
     Head(usize, Link, Run),
     End(usize, Link, Run),
     Reply(usize, Link, Run, Reply),
-    Word(usize, Word),
+    Word(usize, Update),
     Tick,
     Restart,
 }
@@ -262,7 +262,7 @@
         }
         Notice {
             leaving,
-            rest: None,
+            pause: None,
             limit: limit.map(|(rate, _, _)| rate),
             ..Notice::default()
         }
@@ -310,7 +310,7 @@
         };
         self.tally.turned_away += 1;
         let notice = Notice {
-            rest: Some(rest),
+            pause: Some(rest),
             ..notice
         };
         let arrives = self.after(WAY_MS);
@@ -347,7 +347,7 @@
         if notice.leaving {
             heard.leaving.get_or_insert(now);
         }
-        if let Some(rest) = notice.rest {
+        if let Some(rest) = notice.pause {
             heard.rest = Some((now + RESTS_AFTER, now + rest));
             heard.sent_while = 0;
         }
--- a/crates/sim/src/trouble.rs
+++ b/crates/sim/src/trouble.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{upstream, Poll, World};
 use rand::RngExt;
-use sorreldeck::follow::Reading;
+use sorreldeck::replication::Subscription;
 use sorreldeck::{Span, Time};
 use sorreldeck_platform::Table;
 
@@ -36,7 +36,7 @@
         }
         let readers = kind == 5;
         for node in 0..self.nodes.len() {
-            let reads = self.nodes[node].reading == Reading::All;
+            let reads = self.nodes[node].reading == Subscription::All;
             if !(readers && reads || self.rng.random_bool(share)) {
                 continue;
             }
@@ -134,7 +134,7 @@
         let until = self.now + Span::from_millis(self.rng.random_range(2_000..9_000));
         let kind = self.rng.random_range(0..5);
         for node in 0..self.nodes.len() {
-            if self.nodes[node].reading != Reading::All {
+            if self.nodes[node].reading != Subscription::All {
                 continue;
             }
             match kind {
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -5,8 +5,8 @@
 use crate::store::Store;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sorreldeck::era::Heard;
-use sorreldeck::follow::{Bounds, Peer, Reading};
+use sorreldeck::era::Freshness;
+use sorreldeck::replication::{Timeouts, Peer, Subscription};
 use sorreldeck::notice;
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine;
@@ -63,7 +63,7 @@
     pub peer: Peer,
     pub relay: Relay,
     pub mirror: Mirror,
-    pub reading: Reading,
+    pub reading: Subscription,
     pub polls: [Poll; 4],
     /// Not running before.
     pub down_until: Time,
@@ -76,8 +76,8 @@
     /// The sessions that it was told of.
     pub stays: BTreeSet<u64>,
     /// What was told of requests under which upstreams crashed.
-    pub words: Vec<quarantine::Word>,
-    pub notices: Vec<notice::Word>,
+    pub words: Vec<quarantine::Update>,
+    pub notices: Vec<notice::Update>,
     /// The number of the latest change that was seen of each row in this life.
     pub seen: BTreeMap<(Table, String), u64>,
     /// The upstreams that may get requests.
@@ -87,10 +87,10 @@
 impl Node {
     pub fn new(peer: Peer, limit: Span) -> Node {
         Node {
-            relay: Relay::new(peer.clone(), Bounds::of(limit)),
+            relay: Relay::new(peer.clone(), Timeouts::of(limit)),
             peer,
             mirror: Mirror::default(),
-            reading: Reading::Nothing,
+            reading: Subscription::Nothing,
             polls: [Poll::default(); 4],
             down_until: Time::default(),
             frozen_until: Time::default(),
@@ -282,7 +282,7 @@
                 Order::Read(reading) => {
                     let before = std::mem::replace(&mut self.nodes[node].reading, reading);
                     for (poll, table) in self.nodes[node].polls.iter_mut().zip(Table::ALL) {
-                        if !is_read(reading, table) || before == Reading::Entries {
+                        if !is_read(reading, table) || before == Subscription::Entries {
                             *poll = Poll::default();
                         }
                     }
@@ -444,7 +444,7 @@
         let n = &self.nodes[node];
         match table {
             _ if !n.polls[table as usize].answered => Span::default(),
-            Table::Operator if n.reading == Reading::All => n.relay.follow().bounds().wait,
+            Table::Operator if n.reading == Subscription::All => n.relay.follow().timeouts().long_poll,
             Table::Operator => Span::from_millis(2_500),
             _ => WAIT_OTHERS,
         }
@@ -467,7 +467,7 @@
         let known = known.filter(|_| n.mirror.era() == self.store.era);
         let (page, whole) = self.store.page(table, known, now);
         let heard = n.mirror.hear(table, &page, whole, since, now);
-        assert_ne!(heard, Heard::Late);
+        assert_ne!(heard, Freshness::Stale);
         self.note_restored(node);
         let n = &mut self.nodes[node];
         if table == Table::Operator && n.polls[table as usize].failures > 0 {
@@ -485,7 +485,7 @@
         let n = &mut self.nodes[node];
         if table == Table::Own {
             n.relay.listed(now);
-            if n.reading == Reading::Entries {
+            if n.reading == Subscription::Entries {
                 n.polls[table as usize].pause_until = now + WAIT_OTHERS;
             }
         }
@@ -506,7 +506,7 @@
         let now = self.now;
         let n = &mut self.nodes[node];
         let silent = self.store.is_silent || n.peer.name.as_str().len() % 2 == 0;
-        let hangs = n.relay.follow().bounds().wait + HANGS;
+        let hangs = n.relay.follow().timeouts().long_poll + HANGS;
         if silent && now.since(since) < hangs {
             return;
         }
@@ -517,9 +517,9 @@
         let now = self.now;
         let n = &mut self.nodes[node];
         let pause = match (table, n.reading) {
-            (Table::Operator, Reading::Operator) => 2_000,
+            (Table::Operator, Subscription::Operator) => 2_000,
             (Table::Operator, _) => 600,
-            (_, Reading::Entries) => 150,
+            (_, Subscription::Entries) => 150,
             _ => 2_000,
         };
         n.polls[table as usize] = Poll {
@@ -551,7 +551,7 @@
                 continue;
             }
             let (now, n) = (self.now, &mut self.nodes[node]);
-            let heard = n.relay.follow().heard_at();
+            let heard = n.relay.follow().last_sync();
             let lapsed = n.mirror.tick(now, heard);
             self.take_news(node, lapsed);
             let n = &mut self.nodes[node];
@@ -580,12 +580,12 @@
     tables.any(|t| t.number == upstreams && t.since.is_none())
 }
 
-pub fn is_read(reading: Reading, table: Table) -> bool {
+pub fn is_read(reading: Subscription, table: Table) -> bool {
     match reading {
-        Reading::Nothing => false,
-        Reading::Entries => table == Table::Own,
-        Reading::Operator => table == Table::Operator,
-        Reading::All => true,
+        Subscription::Nothing => false,
+        Subscription::Entries => table == Table::Own,
+        Subscription::Operator => table == Table::Operator,
+        Subscription::All => true,
     }
 }
 
