--- a/crates/core/src/pick/availability.rs
+++ b/crates/core/src/pick/availability.rs
@@ -46,7 +46,7 @@
     pub fn availability(&self, link: Link, now: Time) -> Option<Availability> {
         let peer = self.get(link)?;
         let number = peer.start_id();
-        let rests_until = self.notices.rests_until(number);
+        let rests_until = self.notices.paused_until(number);
         let limit = self.notices.limit(number);
         Some(if self.is_leaving(peer) {
             Availability::Leaving
@@ -55,7 +55,7 @@
         } else if now < rests_until {
             Availability::Resting(rests_until.since(now))
         } else if let Some((rate, _)) = limit {
-            Availability::Limited(rate, self.notices.opens(number).since(now))
+            Availability::Limited(rate, self.notices.available_at(number).since(now))
         } else if peer.is_cold(now) {
             Availability::Cold
         } else if now < peer.avoided {
