--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -17,7 +17,7 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 use sorreldeck::wire::{Call, Header};
-use sorreldeck::Promise;
+use sorreldeck::Invariant;
 use sorreldeck_emulator::plain;
 use sorreldeck_net::http::Client;
 use sorreldeck_net::platform::Faults;
@@ -476,7 +476,7 @@
         // At most one may win; the same revision twice would be both.
         let mut judge = self.judge.lock().await;
         judge.check(
-            Promise::Configuration,
+            Invariant::Configuration,
             accepted.len() < 2 || accepted[0] != accepted[1],
         );
         drop(judge);
@@ -604,7 +604,7 @@
             if !whole {
                 println!("cut by a planned stop: {} {}", outcome.status, outcome.code);
             }
-            self.judge.lock().await.check(Promise::PlannedStop, whole);
+            self.judge.lock().await.check(Invariant::PlannedStop, whole);
         }
         Ok(())
     }
--- a/crates/bench/src/faults/judge.rs
+++ b/crates/bench/src/faults/judge.rs
@@ -7,7 +7,7 @@
 use crate::plan::Deployment;
 use eyre::Result;
 use sorreldeck::bill::{Record, Total};
-use sorreldeck::{Promise, Verdict};
+use sorreldeck::{Invariant, Verdict};
 use sorreldeck_emulator::engine::Ran;
 use sorreldeck_emulator::{plain, text};
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,13 +35,13 @@
 struct Reading {
     revision: f64,
     unbilled: f64,
-    counts: [Count; Promise::ALL.len()],
+    counts: [Count; Invariant::ALL.len()],
 }
 
 /// Counts checks and breaches.
 #[derive(Default)]
 pub struct Judge {
-    outside: [Count; Promise::ALL.len()],
+    outside: [Count; Invariant::ALL.len()],
     readings: BTreeMap<SocketAddr, Reading>,
     /// When the version was withdrawn or put back, and whether that is sure.
     toggles: Vec<(Instant, Option<bool>)>,
@@ -49,7 +49,7 @@
 
 impl Judge {
     /// Counts a check.
-    pub fn check(&mut self, promise: Promise, held: bool) {
+    pub fn check(&mut self, promise: Invariant, held: bool) {
         let count = &mut self.outside[promise as usize];
         count.checked += 1;
         count.violated += u64::from(!held);
@@ -80,13 +80,13 @@
     pub fn read(&mut self, address: SocketAddr, metrics: &str) {
         let before = self.readings.get(&address).map_or(0.0, |r| r.revision);
         let revision = sum_of(metrics, "sorreldeck_revision");
-        self.check(Promise::Configuration, revision >= before);
+        self.check(Invariant::Configuration, revision >= before);
         let mut reading = Reading {
             revision,
             unbilled: sum_of(metrics, "sorreldeck_unbilled"),
             ..Reading::default()
         };
-        for promise in Promise::ALL {
+        for promise in Invariant::ALL {
             let of = |name: &str| {
                 let label = format!("{name}{{promise=\"{promise}\"}} ");
                 let line = metrics.lines().find_map(|l| l.strip_prefix(label.as_str()));
@@ -112,7 +112,7 @@
             .values()
             .map(|r| r.revision)
             .fold(0.0, f64::max);
-        self.check(Promise::Configuration, newest >= last as f64);
+        self.check(Invariant::Configuration, newest >= last as f64);
     }
 
     /// Checks the answers against what the upstreams ran.
@@ -143,17 +143,17 @@
 
     fn truth(&mut self, outcome: &Outcome, ran: bool) {
         if outcome.verdict == Some(Verdict::NotRun) {
-            self.check(Promise::NotRun, !ran);
+            self.check(Invariant::NotRun, !ran);
         }
     }
 
     fn plain(&mut self, one: &Sent, count: u32, key: &str) {
-        self.check(Promise::AtMostOnce, count <= 1);
+        self.check(Invariant::AtMostOnce, count <= 1);
         self.truth(&one.outcome, count > 0);
         if one.outcome.is_answered() {
             let expected = plain::text_of("plain", "POST", "/session", key);
             self.check(
-                Promise::WholeAnswer,
+                Invariant::WholeAnswer,
                 one.outcome.text == expected && count == 1,
             );
         }
@@ -165,20 +165,20 @@
             return;
         }
         let expected = text::answer(&outcome.version, &one.prompt, one.tokens);
-        self.check(Promise::WholeAnswer, outcome.text == expected);
+        self.check(Invariant::WholeAnswer, outcome.text == expected);
         self.check(
-            Promise::AllowedVersion,
+            Invariant::AllowedVersion,
             allowed.contains(&outcome.version.as_str()),
         );
         if outcome.version == new && self.surely_withdrawn(one.at, outcome.whole, in_force) {
-            self.check(Promise::Withdrawn, false);
+            self.check(Invariant::Withdrawn, false);
         }
         if let Some(version) = &one.session {
             let kept = *version == outcome.version;
             // Only the new version is ever withdrawn.
             let may_move =
                 version == new && !self.never_withdrawn_around(one.at, outcome.whole, in_force);
-            self.check(Promise::Session, kept || may_move);
+            self.check(Invariant::Session, kept || may_move);
         }
     }
 
@@ -222,7 +222,7 @@
             .map(|r| (r.run.request, r.run.step))
             .collect();
         let total: u64 = Total::add_up(&records).values().map(|t| t.requests).sum();
-        self.check(Promise::BilledOnce, total as usize == steps.len());
+        self.check(Invariant::BilledOnce, total as usize == steps.len());
         let billed: BTreeSet<String> = steps
             .iter()
             .map(|(request, _)| request.to_string())
@@ -231,7 +231,7 @@
             .iter()
             .filter(|s| s.key.is_none() && s.outcome.is_answered())
         {
-            self.check(Promise::BilledOnce, billed.contains(&one.outcome.request));
+            self.check(Invariant::BilledOnce, billed.contains(&one.outcome.request));
         }
         Ok(())
     }
@@ -239,7 +239,7 @@
     /// Returns all counts.
     pub fn counts(&self) -> BTreeMap<&'static str, Count> {
         let mut counts = BTreeMap::new();
-        for promise in Promise::ALL {
+        for promise in Invariant::ALL {
             let mut sum = self.outside[promise as usize];
             for reading in self.readings.values() {
                 sum.checked += reading.counts[promise as usize].checked;
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -7,8 +7,8 @@
 //!
 //! let mut config = Config::default();
 //! let change = Change { revision: Revision(1), author: "op".into(), ticket: 1, edits: vec![] };
-//! assert_eq!(config.apply(&change)?, Update::Adopted);
-//! assert_eq!(config.apply(&change)?, Update::Known);
+//! assert_eq!(config.apply(&change)?, Update::Applied);
+//! assert_eq!(config.apply(&change)?, Update::AlreadyApplied);
 //! assert_eq!(config.since(Revision(0)), Some(vec![change]));
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
@@ -27,9 +27,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Update {
     /// It is in force now.
-    Adopted,
+    Applied,
     /// It was in force already.
-    Known,
+    AlreadyApplied,
     /// Changes before it are missing.
     Gap,
 }
@@ -60,7 +60,7 @@
     /// cannot; the configuration is then as it was.
     pub fn apply(&mut self, change: &Change) -> Result<Update> {
         if change.revision <= self.revision() {
-            return Ok(Update::Known);
+            return Ok(Update::AlreadyApplied);
         }
         if change.revision > self.revision().next() {
             return Ok(Update::Gap);
@@ -70,7 +70,7 @@
         if self.changes.len() > KEPT {
             self.changes.pop_front();
         }
-        Ok(Update::Adopted)
+        Ok(Update::Applied)
     }
 
     /// Puts a whole configuration in force if it is newer.
@@ -80,15 +80,15 @@
     /// Fails if it breaks a rule of the tree.
     pub fn replace(&mut self, revision: Revision, entries: BTreeMap<Key, Value>) -> Result<Update> {
         if revision <= self.revision() {
-            return Ok(Update::Known);
+            return Ok(Update::AlreadyApplied);
         }
         self.tree = Arc::new(Tree::from_entries(revision, entries)?);
         self.changes.clear();
-        Ok(Update::Adopted)
+        Ok(Update::Applied)
     }
 
     /// Returns all the changes that are kept, or `None` if there are none.
-    pub fn kept(&self) -> Option<Vec<Change>> {
+    pub fn retained(&self) -> Option<Vec<Change>> {
         let first = self.changes.front()?;
         self.since(Revision(first.revision.0 - 1))
     }
--- a/crates/core/src/duty/mod.rs
+++ b/crates/core/src/duty/mod.rs
@@ -5,7 +5,7 @@
 //! tells the counts that changed to the first entries of its data hall ([`Tally`]). Those write
 //! the sums of their data hall into the platform's store. Whoever holds the lease adds them up,
 //! writes there what the window's counts are, and only then reports them: a successor finds and
-//! repeats exactly those ([`Duty`]).
+//! repeats exactly those ([`Reporter`]).
 //!
 //! ```
 //! use sorreldeck::duty::{Tally, Window};
@@ -13,23 +13,23 @@
 //!
 //! let length = Span::from_millis(5_000);
 //! let mut tally = Tally::new(Incarnation(1), length);
-//! tally.began(&"mira".parse()?, Time(12_000_000));
-//! let told = tally.changes();
+//! tally.record(&"mira".parse()?, Time(12_000_000));
+//! let told = tally.take_changes();
 //! assert_eq!(told[0].window, Window::at(Time(12_000_000), length));
 //!
 //! let mut head = Tally::new(Incarnation(2), length);
-//! head.take(&"e-1".parse()?, told);
+//! head.merge(&"e-1".parse()?, told);
 //! assert_eq!(head.sum(Window(2)).total(), 1);
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
-mod keeper;
+mod reporter;
 mod rows;
 mod tally;
 
-pub use keeper::{median, Around, Change, Duty, Outcome, Report, Settings, Step};
+pub use reporter::{median, Context, Transaction, Reporter, Outcome, Report, Settings, Step};
 pub use rows::Row;
-pub use tally::{Counts, Part, Tally};
+pub use tally::{Counts, Update, Tally};
 
 use crate::unit::{Span, Time};
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/duty/keeper.rs
+++ b/crates/core/src/duty/reporter.rs
@@ -13,7 +13,7 @@
 use super::{Counts, Row, Tally, Window};
 use crate::era::{Era, Stamp};
 use crate::id::{Hall, Incarnation, InstanceId};
-use crate::lease::{self, Keeper};
+use crate::lease::{self, Elector};
 use crate::unit::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,19 +38,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The instance.
-    pub own: InstanceId,
+    pub instance: InstanceId,
     /// The run of this process.
     pub incarnation: Incarnation,
     /// Its data hall.
     pub hall: Hall,
     /// The length of a window.
-    pub length: Span,
+    pub window_length: Span,
     /// How long after its end a window is to be reported at the latest.
-    pub late: Span,
+    pub report_deadline: Span,
     /// Within which time no two others may act in turn.
     pub lease: Span,
     /// The shortest time between two reports.
-    pub gap: Span,
+    pub min_report_interval: Span,
     /// Whether the whole installation starts for the first time, so that no lease was ever held.
     pub is_first_start: bool,
 }
@@ -58,7 +58,7 @@
 impl Settings {
     /// Returns the part of the time for a report, in hundredths.
     fn part(&self, hundredths: u64) -> Span {
-        Span::from_micros(self.late.micros() / 100 * hundredths)
+        Span::from_micros(self.report_deadline.micros() / 100 * hundredths)
     }
 
     /// Returns how long after a window the sum of a data hall is written: what entries tell of it
@@ -89,26 +89,26 @@
             term,
             margin: Span::from_micros(term.micros() / 6),
             renew_after: Span::default(),
-            is_kept: self.is_first_start,
+            is_durable: self.is_first_start,
         }
     }
 }
 
 /// What an entry knows of its surroundings.
 #[derive(Clone, Copy, Debug)]
-pub struct Around<'a> {
+pub struct Context<'a> {
     /// Whether it reads the platform's store.
-    pub reads: bool,
+    pub reads_store: bool,
     /// Whether it is the first of its data hall to do so.
-    pub leads: bool,
+    pub is_hall_leader: bool,
     /// The data halls that have entries.
     pub halls: &'a BTreeSet<Hall>,
     /// What was counted in its data hall.
     pub tally: &'a Tally,
     /// True time.
-    pub time: Time,
+    pub utc: Time,
     /// The time on the store's clock, where it is known.
-    pub clock: Option<Time>,
+    pub store_time: Option<Time>,
     /// True time less the store's clock as the entries of its data hall have it, in
     /// microseconds.
     pub epoch_us: Option<i64>,
@@ -116,7 +116,7 @@
 
 /// A change of rows, made whole or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct Transaction {
     /// The versions that rows must have; 0 stands for no row.
     pub expect: Vec<(String, u64)>,
     /// The rows that are written.
@@ -137,7 +137,7 @@
     /// The requests.
     pub counts: Counts,
     /// Within which time the call must have ended, since another may act afterwards.
-    pub within: Span,
+    pub timeout: Span,
 }
 
 /// What is to be done.
@@ -146,7 +146,7 @@
     /// Read all rows.
     Read,
     /// Make a change.
-    Write(Change),
+    Write(Transaction),
     /// Report a window.
     Report(Report),
     /// Nothing for now.
@@ -166,9 +166,9 @@
 
 /// The decisions of one entry about duties.
 #[derive(Clone, Debug)]
-pub struct Duty {
+pub struct Reporter {
     settings: Settings,
-    keeper: Keeper,
+    keeper: Elector,
     rows: Rows,
     /// Whether the rows are as they were read or written last, with nothing in doubt.
     is_read: bool,
@@ -196,12 +196,12 @@
     Report(Window),
 }
 
-impl Duty {
+impl Reporter {
     /// Creates the decisions of an entry that knows nothing yet.
-    pub fn new(settings: Settings) -> Duty {
-        let own = settings.own.clone();
-        let keeper = Keeper::with(own, settings.incarnation, settings.terms());
-        Duty {
+    pub fn new(settings: Settings) -> Reporter {
+        let own = settings.instance.clone();
+        let keeper = Elector::with_terms(own, settings.incarnation, settings.terms());
+        Reporter {
             settings,
             keeper,
             rows: Rows::default(),
@@ -229,7 +229,7 @@
     }
 
     /// Returns the last window up to which all were reported or given up.
-    pub fn finished(&self) -> Option<Window> {
+    pub fn completed_through(&self) -> Option<Window> {
         Some(self.rows.lease.as_ref()?.done)
     }
 
@@ -238,10 +238,10 @@
         self.open().filter(|(_, s)| s.is_some()).count()
     }
 
-    /// Returns what to do now. What came of it is told by [`read`](Duty::read),
-    /// [`written`](Duty::written) or [`reported`](Duty::reported) before the next call.
-    pub fn next(&mut self, around: &Around, now: Time) -> Step {
-        if self.pending.is_some() || !around.reads || now < self.paused_until {
+    /// Returns what to do now. What came of it is told by [`on_read`](Reporter::on_read),
+    /// [`on_written`](Reporter::on_written) or [`on_reported`](Reporter::on_reported) before the next call.
+    pub fn next(&mut self, around: &Context, now: Time) -> Step {
+        if self.pending.is_some() || !around.reads_store || now < self.paused_until {
             return Step::Rest;
         }
         if !self.is_read {
@@ -259,28 +259,28 @@
         }
     }
 
-    fn read_now(&mut self, around: &Around, now: Time) -> Step {
-        self.read_at = around.time;
+    fn read_now(&mut self, around: &Context, now: Time) -> Step {
+        self.read_at = around.utc;
         self.asked_at = now;
         self.pending = Some(Pending::Read);
         Step::Read
     }
 
     /// Returns whether the rows may have changed in a way that matters.
-    fn is_due_to_read(&self, around: &Around, now: Time) -> bool {
-        let Some(done) = self.finished() else {
+    fn is_due_to_read(&self, around: &Context, now: Time) -> bool {
+        let Some(done) = self.completed_through() else {
             // Whether anybody takes the lease shows after a term.
-            return around.time.since(self.read_at) >= self.settings.looks_after();
+            return around.utc.since(self.read_at) >= self.settings.looks_after();
         };
         let after = self.acts_after(now);
-        let Some(window) = self.last_ended(around.time, after) else {
+        let Some(window) = self.last_ended(around.utc, after) else {
             return false;
         };
         let is_open = window > done && !self.rows.settled.contains_key(&window);
-        let was_read = self.read_at >= window.end(self.settings.length) + after;
+        let was_read = self.read_at >= window.end(self.settings.window_length) + after;
         match (is_open, was_read) {
             (_, false) => window > done,
-            (true, true) => around.time.since(self.read_at) >= self.settings.sums_after(),
+            (true, true) => around.utc.since(self.read_at) >= self.settings.sums_after(),
             (false, true) => false,
         }
     }
@@ -296,7 +296,7 @@
     /// Returns the last window that ended so long ago, in true time.
     fn last_ended(&self, time: Time, ago: Span) -> Option<Window> {
         let then = Time(time.0.checked_sub(ago.micros())?);
-        let window = Window::at(then, self.settings.length);
+        let window = Window::at(then, self.settings.window_length);
         (window > Window(0)).then(|| window.back(1))
     }
 
@@ -305,7 +305,7 @@
         if self.is_outdated() {
             return None;
         }
-        let within = self.keeper.left(now);
+        let within = self.keeper.remaining(now);
         let fence = self.fence(now).filter(|_| within >= LEAST_CALL)?;
         let (window, counts) = self.open().find_map(|(window, settled)| {
             let counts = settled.as_ref()?;
@@ -313,35 +313,35 @@
         })?;
         self.pending = Some(Pending::Report(window));
         Some(Step::Report(Report {
-            holder: self.settings.own.clone(),
+            holder: self.settings.instance.clone(),
             fence,
             window,
             counts,
-            within,
+            timeout: within,
         }))
     }
 
     /// Returns the settled windows that are not finished, in order.
     fn open(&self) -> impl Iterator<Item = (Window, &Settled)> {
-        let done = self.finished();
+        let done = self.completed_through();
         let settled = self.rows.settled.iter().map(|(w, s)| (*w, s));
         settled.filter(move |(w, _)| done.is_some_and(|d| *w > d) && !self.done.contains(w))
     }
 
     /// Settles the windows whose counts are there, or renews the lease where one that is settled
     /// is still to be reported.
-    fn settle(&mut self, around: &Around, now: Time) -> Option<Step> {
+    fn settle(&mut self, around: &Context, now: Time) -> Option<Step> {
         let settled = self.to_settle(around, now);
-        let is_held = self.keeper.left(now) >= LEAST_CALL && !self.is_outdated();
+        let is_held = self.keeper.remaining(now) >= LEAST_CALL && !self.is_outdated();
         let is_unreported = self.open().any(|(_, s)| s.is_some());
         let is_new = self.rows.lease.is_none();
         if settled.is_empty() && (is_held || !is_unreported) && !is_new {
             return None;
         }
-        let (lease, expect) = self.keeper.claim(around.clock, now)?;
+        let (lease, expect) = self.keeper.claim(around.store_time, now)?;
         let holding = Holding {
             lease,
-            done: self.done_now(around.time, &settled),
+            done: self.done_now(around.utc, &settled),
             epoch_us: self.epoch_of_sums().or(around.epoch_us),
         };
         let remove = self.outdated(holding.done);
@@ -349,7 +349,7 @@
         for (window, counts) in &settled {
             put.push((rows::settled_key(*window), rows::encode(counts)));
         }
-        let change = Change {
+        let change = Transaction {
             expect: vec![(rows::LEASE.to_owned(), expect)],
             put,
             remove: remove.clone(),
@@ -359,10 +359,10 @@
     }
 
     /// Returns the windows that are to be settled now, with their counts.
-    fn to_settle(&self, around: &Around, now: Time) -> BTreeMap<Window, Settled> {
+    fn to_settle(&self, around: &Context, now: Time) -> BTreeMap<Window, Settled> {
         let mut settled = BTreeMap::new();
-        let last = self.last_ended(around.time, self.acts_after(now));
-        let (Some(done), Some(last)) = (self.finished(), last) else {
+        let last = self.last_ended(around.utc, self.acts_after(now));
+        let (Some(done), Some(last)) = (self.completed_through(), last) else {
             return settled;
         };
         let mut window = first_open(done, last);
@@ -386,11 +386,11 @@
 
     /// Returns what a window that is not settled is to be settled with; `None` while sums are
     /// waited for.
-    fn counts_of(&self, window: Window, around: &Around, now: Time) -> Option<Settled> {
+    fn counts_of(&self, window: Window, around: &Context, now: Time) -> Option<Settled> {
         if let Some(known) = self.known.get(&window) {
             return Some(known.clone());
         }
-        let end = window.end(self.settings.length);
+        let end = window.end(self.settings.window_length);
         let is_lost = self.is_outdated() && end <= self.era_since;
         if is_lost && self.keeper.held(now).is_none() {
             // It may have been reported with counts that nobody knows any more.
@@ -399,7 +399,7 @@
         let sums = self.rows.sums.iter().filter(|((w, _), _)| *w == window);
         let sums: BTreeMap<&Hall, &Sum> = sums.map(|((_, h), (_, s))| (h, s)).collect();
         let is_whole = around.halls.iter().all(|hall| sums.contains_key(hall));
-        if !is_whole && around.time < end + self.settings.waits_for() {
+        if !is_whole && around.utc < end + self.settings.waits_for() {
             return None;
         }
         let mut counts = Counts::default();
@@ -426,8 +426,8 @@
 
     /// Returns the last window up to which all are finished, with a write that settles some.
     fn done_now(&self, time: Time, settled: &BTreeMap<Window, Settled>) -> Window {
-        let current = Window::at(time, self.settings.length);
-        let Some(done) = self.finished() else {
+        let current = Window::at(time, self.settings.window_length);
+        let Some(done) = self.completed_through() else {
             return current.back(1);
         };
         let mut done = done.max(current.back(MOST_OPEN + 1));
@@ -462,15 +462,15 @@
     }
 
     /// Writes the sums of the own data hall that the store lacks.
-    fn write_sums(&mut self, around: &Around) -> Option<Step> {
-        let after = match around.leads {
+    fn write_sums(&mut self, around: &Context) -> Option<Step> {
+        let after = match around.is_hall_leader {
             true => self.settings.sums_after(),
             false => self.settings.looks_after(),
         };
-        let last = self.last_ended(around.time, after)?;
-        let done = self.finished().unwrap_or(last.back(1));
+        let last = self.last_ended(around.utc, after)?;
+        let done = self.completed_through().unwrap_or(last.back(1));
         let hall = self.settings.hall.clone();
-        let mut change = Change::default();
+        let mut change = Transaction::default();
         let mut sums = Vec::new();
         let windows = (first_open(done, last).0..=last.0).map(Window);
         for window in windows.filter(|w| !self.rows.settled.contains_key(w)) {
@@ -500,12 +500,12 @@
     }
 
     /// Takes in all rows, and the era of the store that told them.
-    pub fn read(&mut self, era: Option<Era>, rows: Vec<Row>, now: Time) {
+    pub fn on_read(&mut self, era: Option<Era>, rows: Vec<Row>, now: Time) {
         self.pending = None;
         let era = era.unwrap_or(self.era);
         if era < self.era {
             // An answer of before a loss.
-            return self.failed(now);
+            return self.on_failed(now);
         }
         self.hear(era, self.read_at + now.since(self.asked_at));
         self.failures = 0;
@@ -536,11 +536,11 @@
             .lease
             .as_ref()
             .map(|holding| holding.lease.clone());
-        self.keeper.note(at, lease, now);
+        self.keeper.record(at, lease, now);
     }
 
     /// Takes in that the call that was under way failed, or may have.
-    pub fn failed(&mut self, now: Time) {
+    pub fn on_failed(&mut self, now: Time) {
         self.pending = None;
         self.is_read = false;
         self.pause(now);
@@ -555,7 +555,7 @@
 
     /// Takes in what came of a write: the version that the rows got, or `None` where a condition
     /// did not hold.
-    pub fn written(&mut self, made: Option<Stamp>, now: Time) {
+    pub fn on_written(&mut self, made: Option<Stamp>, now: Time) {
         let Some(pending) = self.pending.take() else {
             return;
         };
@@ -602,11 +602,11 @@
     }
 
     /// Takes in what came of a report.
-    pub fn reported(&mut self, outcome: Outcome, time: Time, now: Time) {
+    pub fn on_reported(&mut self, outcome: Outcome, time: Time, now: Time) {
         let Some(Pending::Report(window)) = self.pending.take() else {
             return;
         };
-        let is_late = time >= window.end(self.settings.length) + self.settings.late;
+        let is_late = time >= window.end(self.settings.window_length) + self.settings.report_deadline;
         match outcome {
             Outcome::Taken => self.finish(window, now),
             Outcome::Refused if is_late => self.finish(window, now),
@@ -617,7 +617,7 @@
     fn finish(&mut self, window: Window, now: Time) {
         self.failures = 0;
         self.done.insert(window);
-        self.paused_until = now + self.settings.gap;
+        self.paused_until = now + self.settings.min_report_interval;
     }
 }
 
--- a/crates/core/src/duty/tally.rs
+++ b/crates/core/src/duty/tally.rs
@@ -53,11 +53,12 @@
 /// What one entry counted in a window: all its requests there, of the client accounts for which
 /// that has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Update {
     /// The window.
     pub window: Window,
     /// The run of the entry: a new one begins from 0.
-    pub by: Incarnation,
+    #[serde(rename = "by")]
+    pub incarnation: Incarnation,
     /// The requests.
     pub counts: Vec<(AccountId, u64)>,
 }
@@ -86,7 +87,7 @@
     }
 
     /// Counts a request that began to run at a point in true time.
-    pub fn began(&mut self, account: &AccountId, time: Time) {
+    pub fn record(&mut self, account: &AccountId, time: Time) {
         let window = Window::at(time, self.length);
         self.counted.entry(window).or_default().add(account, 1);
         self.changed.insert((window, account.clone()));
@@ -96,7 +97,7 @@
             .first_key_value()
             .is_some_and(|(w, _)| *w < least)
         {
-            self.forget_before(least);
+            self.prune_before(least);
         }
     }
 
@@ -106,8 +107,8 @@
     }
 
     /// Returns what has changed since it was told.
-    pub fn changes(&mut self) -> Vec<Part> {
-        let mut parts: Vec<Part> = Vec::new();
+    pub fn take_changes(&mut self) -> Vec<Update> {
+        let mut parts: Vec<Update> = Vec::new();
         for (window, account) in std::mem::take(&mut self.changed) {
             let count = self.counted.get(&window).map_or(0, |c| c.of(&account));
             match parts.last_mut().filter(|part| part.window == window) {
@@ -119,7 +120,7 @@
     }
 
     /// Returns all that was counted here, for an entry that was told nothing yet.
-    pub fn all(&self) -> Vec<Part> {
+    pub fn snapshot(&self) -> Vec<Update> {
         let windows = self.counted.iter();
         let parts = windows.map(|(window, counts)| {
             let counts = counts.iter().map(|(a, n)| (a.clone(), n));
@@ -128,18 +129,18 @@
         parts.collect()
     }
 
-    fn part(&self, window: Window, counts: Vec<(AccountId, u64)>) -> Part {
-        Part {
+    fn part(&self, window: Window, counts: Vec<(AccountId, u64)>) -> Update {
+        Update {
             window,
-            by: self.own,
+            incarnation: self.own,
             counts,
         }
     }
 
     /// Takes in what another entry counted; what was told twice counts once.
-    pub fn take(&mut self, entry: &InstanceId, parts: Vec<Part>) {
+    pub fn merge(&mut self, entry: &InstanceId, parts: Vec<Update>) {
         for part in parts {
-            let by = (entry.clone(), part.by);
+            let by = (entry.clone(), part.incarnation);
             let counts = self.told.entry(part.window).or_default();
             let counts = counts.entry(by).or_default();
             for (account, requests) in part.counts {
@@ -162,14 +163,14 @@
     }
 
     /// Returns the counts that are kept, for a bound on them.
-    pub fn kept(&self) -> usize {
+    pub fn retained(&self) -> usize {
         let own = self.counted.values().map(|c| c.0.len()).sum::<usize>();
         let told = self.told.values().flat_map(|by| by.values());
         own + told.map(|c| c.0.len()).sum::<usize>()
     }
 
     /// Forgets the windows before one.
-    pub fn forget_before(&mut self, window: Window) {
+    pub fn prune_before(&mut self, window: Window) {
         self.counted = self.counted.split_off(&window);
         self.told = self.told.split_off(&window);
         self.changed.retain(|(of, _)| *of >= window);
--- a/crates/core/src/entry/answer.rs
+++ b/crates/core/src/entry/answer.rs
@@ -26,7 +26,7 @@
             } => {
                 self.peers.report(link, load, now);
                 self.peers.answers(link, now);
-                self.note_rest(link, header::rest_in(status, &headers), now);
+                self.note_rest(link, header::retry_after(status, &headers), now);
                 self.head(now, run, status, headers, out);
             }
             Frame::Data { run, seq, data } => self.data(now, run, seq, data, out),
@@ -58,12 +58,12 @@
             Frame::Load(load) => self.peers.report(link, load, now),
             Frame::Goodbye => self.peers.goodbye(link),
             Frame::Revision(revision) => self.compare(link, revision, out),
-            Frame::Missing(revision) => out.push(Output::Ahead(link, revision)),
-            Frame::Billed(runs) => self.held.billed(&runs),
+            Frame::FetchChanges(revision) => out.push(Output::Ahead(link, revision)),
+            Frame::Billed(runs) => self.held.remove(&runs),
             Frame::Grant { account, share } if !self.settings.even_limits => {
-                self.limits.granted(&account, share, now);
+                self.limits.set_share(&account, share, now);
             }
-            Frame::Pooled {
+            Frame::PooledEvidence {
                 version,
                 evidence,
                 bad,
@@ -72,12 +72,12 @@
                     out.push(Output::Suspect(version));
                 }
             }
-            Frame::Words(words) => {
+            Frame::Quarantine(words) => {
                 for word in words {
                     self.take_word(now, word);
                 }
             }
-            Frame::Want(_)
+            Frame::FetchTables(_)
             | Frame::Tables(_)
             | Frame::Follow(_)
             | Frame::Feed(_)
@@ -193,7 +193,7 @@
         if let Some(choice) = &flight.choice {
             headers.push(Header::new(header::VERSION, &choice.version));
             if let Why::Moved(from) = &choice.why {
-                headers.push(Header::new(header::MOVED, from));
+                headers.push(Header::new(header::SESSION_MOVED, from));
             }
         }
         if let Some(upstream) = &flight.upstream {
@@ -205,7 +205,7 @@
         flight.headed = true;
         flight.first = Some(now);
         let status = flight.status;
-        if self.promises.check(Promise::WholeAnswer, once) {
+        if self.promises.check(Invariant::WholeAnswer, once) {
             out.push(Output::Answer(request, Part::Head { status, headers }));
         }
     }
@@ -233,7 +233,7 @@
         if judged || (sampled && flight.chat().is_some()) {
             flight.text.extend_from_slice(&data);
         }
-        if !self.promises.check(Promise::WholeAnswer, in_order) {
+        if !self.promises.check(Invariant::WholeAnswer, in_order) {
             let message = "a part of the answer is missing";
             let failure = Failure::new(Reason::Invariant, Verdict::Ran, message);
             return self.abandon(now, run, failure, out);
@@ -258,7 +258,7 @@
         };
         let whole = flight.parts == parts;
         flight.verdict = Verdict::Ran;
-        if !self.promises.check(Promise::WholeAnswer, whole) {
+        if !self.promises.check(Invariant::WholeAnswer, whole) {
             let message = "the end of the answer is missing";
             let failure = Failure::new(Reason::Invariant, Verdict::Ran, message);
             return self.give_up(now, run.request, failure, out);
@@ -285,9 +285,9 @@
         let used = finish.usage.prompt + finish.usage.generated;
         if flight.chat().is_some() {
             let beyond = used as f64 - f64::from(expected);
-            self.limits.ended(&flight.site.account, beyond);
+            self.limits.settle(&flight.site.account, beyond);
         } else {
-            self.limits.ended(&flight.site.account, 0.0);
+            self.limits.settle(&flight.site.account, 0.0);
         }
         self.sample(&flight, finish.confidence, true, out);
         out.push(Output::Answer(flight.ask.request, Part::End));
@@ -385,7 +385,7 @@
         let expected = flight.prompt_tokens() + flight.chat().map_or(0, |c| c.max_tokens);
         let used = finish.usage.prompt + finish.usage.generated;
         let beyond = used as f64 - f64::from(expected);
-        self.limits.ended(&flight.site.account, beyond);
+        self.limits.settle(&flight.site.account, beyond);
         out.push(Output::Answer(request, Part::End));
         out.push(Output::Ended(done(&flight, now, None)));
     }
@@ -429,7 +429,7 @@
             Next::Again if self.has_changed(request) => self.rechoose(now, request, out),
             Next::Again => {
                 if let Some(flight) = self.flights.get_mut(&request) {
-                    flight.run = flight.run.again();
+                    flight.run = flight.run.next_attempt();
                 }
                 self.dispatch(now, request, out);
             }
@@ -535,10 +535,10 @@
         }
         let truthful =
             failure.verdict != Verdict::NotRun || flight.known_verdict() == Verdict::NotRun;
-        if !self.promises.check(Promise::NotRun, truthful) {
+        if !self.promises.check(Invariant::NotRun, truthful) {
             failure.verdict = Verdict::MayHaveRun;
         }
-        self.limits.ended(&flight.site.account, 0.0);
+        self.limits.settle(&flight.site.account, 0.0);
         self.note_stay(now, &flight, LIFE);
         self.history
             .note(request, |d| d.failure = Some(failure.clone()));
@@ -563,7 +563,7 @@
 
     pub(super) fn link_down(&mut self, now: Time, link: Link, out: &mut Outputs) {
         self.peers.leave(link);
-        self.held.unlink(link);
+        self.held.remove_link(link);
         self.watch.resend();
         let mut lost: Vec<RequestId> = self
             .flights
--- a/crates/core/src/entry/ask.rs
+++ b/crates/core/src/entry/ask.rs
@@ -180,7 +180,7 @@
     let letters = PREFIX_TOKENS * LETTERS_PER_TOKEN;
     let head = prompt.as_bytes().get(..letters)?;
     Some(Prefix {
-        hash: digest::short(&blake3::hash(head)),
+        hash: digest::truncate(&blake3::hash(head)),
         tokens: PREFIX_TOKENS as u32,
     })
 }
--- a/crates/core/src/entry/dispatch.rs
+++ b/crates/core/src/entry/dispatch.rs
@@ -151,9 +151,9 @@
         link: Link,
     ) -> Result<(), Failure> {
         let working = self.peers.gets_work(link);
-        self.keep(Promise::Leaving, working)?;
+        self.keep(Invariant::Leaving, working)?;
         let once = !flight.once || flight.verdict.may_repeat();
-        self.keep(Promise::AtMostOnce, once)?;
+        self.keep(Invariant::AtMostOnce, once)?;
         self.note_try(now, flight, Some(link), String::new());
         self.peers
             .sent(link, flight.prompt_tokens(), flight.chain(), now);
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    pub(super) fn keep(&mut self, promise: Promise, held: bool) -> Result<(), Failure> {
+    pub(super) fn keep(&mut self, promise: Invariant, held: bool) -> Result<(), Failure> {
         match self.promises.check(promise, held) {
             true => Ok(()),
             false => {
@@ -185,7 +185,7 @@
         };
         let version = &choice.version;
         let allowed = flight.site.node.allows_version(version);
-        self.keep(Promise::AllowedVersion, allowed)?;
+        self.keep(Invariant::AllowedVersion, allowed)?;
         let serving = route::takes_work(&self.tree, version);
         if !serving && flight.run.attempt > 0 {
             // Withdrawn while another upstream was tried: a refusal, no breach.
@@ -194,14 +194,14 @@
                 "the version was withdrawn",
             ));
         }
-        self.keep(Promise::Withdrawn, serving)?;
+        self.keep(Invariant::Withdrawn, serving)?;
         if let Some(session) = &flight.session {
             let kept = session.version == *version;
             let moved = choice.why == Why::Moved(session.version.clone());
             let gone = !flight.site.node.allows_version(&session.version)
                 || !route::takes_work(&self.tree, &session.version)
                 || self.watch.suspects(&session.version);
-            self.keep(Promise::Session, kept || (moved && gone))?;
+            self.keep(Invariant::Session, kept || (moved && gone))?;
         }
         Ok(())
     }
@@ -224,10 +224,10 @@
             version: flight.version().cloned(),
             deadline_us: flight.deadline.since(now).micros(),
             tokens: flight.cost(),
-            patient: self.is_patient(flight),
+            may_queue: self.is_patient(flight),
             revision: self.tree.revision(),
             call,
-            order: None,
+            metadata: None,
         }
     }
 
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -38,7 +38,7 @@
 use crate::merit::Merits;
 use crate::notice;
 use crate::pick::{Link, Near, Peers, Policy, Wish};
-use crate::promise::{Promise, Promises};
+use crate::invariant::{Invariant, Invariants};
 use crate::quarantine::{self, Fingerprint, Quarantine};
 use crate::reading::Readings;
 use crate::release::{self, Releases};
@@ -47,7 +47,7 @@
 use crate::reuse::{Reuse, Scope};
 use crate::route::{self, Caller, Choice, Site, Target, Why};
 use crate::session::{Keyring, Session};
-use crate::store::{Batch, Held};
+use crate::spool::{Batch, Spool};
 use crate::strain::Strains;
 use crate::tree::{Action, Class, Kind, Tree};
 use crate::unit::*;
@@ -290,9 +290,9 @@
     ticked: Time,
     /// Whether nothing was heard since a suspension of the machine.
     suspended: bool,
-    held: Held,
+    held: Spool,
     history: History,
-    promises: Promises,
+    promises: Invariants,
     reported: Time,
     resent: Time,
     leaving: bool,
@@ -306,7 +306,7 @@
         let watch = Watch::new(settings.judge);
         Entry {
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
-            held: Held::new(settings.incarnation),
+            held: Spool::new(settings.incarnation),
             tree: Arc::default(),
             peers: Peers::default(),
             flights: HashMap::new(),
@@ -326,7 +326,7 @@
             ticked: Time::default(),
             suspended: false,
             history: History::default(),
-            promises: Promises::default(),
+            promises: Invariants::default(),
             reported: Time::default(),
             resent: Time::default(),
             leaving: false,
@@ -363,8 +363,8 @@
             Input::Cold(link, left) => self.peers.cool(link, left, now),
             Input::Claimed(request, claim) => self.claimed(now, request, claim, &mut out),
             Input::Rated(rating) => self.rated(rating, &mut out),
-            Input::Written(batch) => drop(self.held.written(batch)),
-            Input::NotWritten(batch) => self.held.not_written(batch, now),
+            Input::Written(batch) => drop(self.held.on_written(batch)),
+            Input::NotWritten(batch) => self.held.on_write_failed(batch, now),
             Input::Tick => self.tick(now, &mut out),
             Input::Suspended => self.suspended = true,
             Input::Informed => self.suspended = false,
@@ -384,7 +384,7 @@
     /// Notes that the process ends; returns whether no request was cut.
     pub fn stopped(&mut self) -> bool {
         let idle = self.is_idle();
-        self.promises.check(Promise::PlannedStop, idle)
+        self.promises.check(Invariant::PlannedStop, idle)
     }
 
     /// Returns whether callers may be sent here.
@@ -404,7 +404,7 @@
     }
 
     /// Returns the counts of the promises.
-    pub fn promises(&self) -> &Promises {
+    pub fn promises(&self) -> &Invariants {
         &self.promises
     }
 
@@ -458,7 +458,7 @@
 
     fn adopt(&mut self, now: Time, tree: Arc<Tree>, out: &mut Outputs) {
         let ahead = tree.revision() >= self.tree.revision();
-        if !self.promises.check(Promise::Configuration, ahead) {
+        if !self.promises.check(Invariant::Configuration, ahead) {
             return;
         }
         self.tree = tree;
@@ -510,7 +510,7 @@
     /// Tries again with a version chosen anew.
     fn rechoose(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
         if let Some(flight) = self.flights.get_mut(&request) {
-            flight.run = flight.run.again();
+            flight.run = flight.run.next_attempt();
             flight.choice = None;
             flight.waiting = None;
             flight.tried.clear();
--- a/crates/core/src/entry/routed/overdue.rs
+++ b/crates/core/src/entry/routed/overdue.rs
@@ -116,7 +116,7 @@
         };
         flight.verdict = flight.verdict.raise(Verdict::MayHaveRun);
         flight.failed = Some(failure);
-        flight.run = flight.run.again();
+        flight.run = flight.run.next_attempt();
         self.dispatch(now, request, out);
     }
 
--- a/crates/core/src/entry/routed/reply.rs
+++ b/crates/core/src/entry/routed/reply.rs
@@ -344,7 +344,7 @@
         match self.may_go_on(now, request, &failure) {
             true => {
                 if let Some(flight) = self.flights.get_mut(&request) {
-                    flight.run = flight.run.again();
+                    flight.run = flight.run.next_attempt();
                 }
                 self.dispatch(now, request, out);
             }
--- a/crates/core/src/entry/routed/send.rs
+++ b/crates/core/src/entry/routed/send.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::pick::{self, Chosen, Near, Peer};
 use crate::release::{Few, Stay, LIFE};
-use crate::wire::Order;
+use crate::wire::Metadata;
 
 /// The reading from which on other entries are told of it: it reaches them after some
 /// 60 ms, and what is shorter is mostly over by then.
@@ -152,15 +152,15 @@
         let (routed, terms) = (flight.routed()?, flight.terms.as_ref()?);
         let left = flight.deadline.since(now);
         let account = &flight.site.account;
-        let order = Order {
+        let order = Metadata {
             label: routed.label.clone(),
             account: flight.site.node.account.is_some().then(|| account.clone()),
             upstream: flight.upstream.clone(),
             model: terms.route.sizes.get(terms.size).cloned(),
             rank: flight.rank(),
-            last: terms.last,
+            last_event_id: terms.last,
             stream: terms.route.stream,
-            once: flight.once,
+            at_most_once: flight.once,
         };
         Some(Start {
             run: flight.run,
@@ -170,10 +170,10 @@
             version: flight.version().cloned(),
             deadline_us: left.micros(),
             tokens: flight.cost(),
-            patient: true,
+            may_queue: true,
             revision: self.tree.revision(),
             call: routed.call.clone(),
-            order: Some(Box::new(order)),
+            metadata: Some(Box::new(order)),
         })
     }
 }
--- a/crates/core/src/era/kept.rs
+++ b/crates/core/src/era/kept.rs
@@ -3,7 +3,7 @@
 //! The store has lost what was written since the copy was made; whoever wrote it writes it again,
 //! in any order and some seconds late. What was in force stays so meanwhile.
 
-use crate::digest::short;
+use crate::digest::truncate;
 use crate::unit::Span;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -52,7 +52,7 @@
         hasher.update(&(self.key.len() as u64).to_be_bytes());
         hasher.update(self.key.as_bytes());
         hasher.update(self.value);
-        short(&hasher.finalize())
+        truncate(&hasher.finalize())
     }
 }
 
--- a/crates/core/src/header.rs
+++ b/crates/core/src/header.rs
@@ -4,8 +4,8 @@
 //! use sorreldeck::{header, Span};
 //!
 //! assert_eq!(header::SESSION, "x-sorreldeck-session");
-//! assert_eq!(header::rest("1.5"), Some(Span::from_millis(1_500)));
-//! assert_eq!(header::rest("Fri, 31 Dec 1999 23:59:59 GMT"), None);
+//! assert_eq!(header::parse_retry_after("1.5"), Some(Span::from_millis(1_500)));
+//! assert_eq!(header::parse_retry_after("Fri, 31 Dec 1999 23:59:59 GMT"), None);
 //! ```
 
 use crate::unit::Span;
@@ -21,7 +21,7 @@
 /// Set to `true` by a caller whose request must not be sent twice.
 pub const ONCE: &str = "x-sorreldeck-once";
 /// A caller's name for a request, by which a repeated one is recognised.
-pub const IDEMPOTENCY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The identity that sorreldeck gave the request.
 pub const REQUEST: &str = "x-sorreldeck-request";
 /// Whether the request ran: `not-run`, `may-have-run` or `ran`.
@@ -31,13 +31,13 @@
 /// The upstream that answered.
 pub const UPSTREAM: &str = "x-sorreldeck-upstream";
 /// The version that the session left, where it had to move.
-pub const MOVED: &str = "x-sorreldeck-session-moved";
+pub const SESSION_MOVED: &str = "x-sorreldeck-session-moved";
 /// The identity of a run as an engine sees it and must give back.
 pub const RUN: &str = "x-request-id";
 /// The priority of a run as an engine sees it; lower goes first.
 pub const PRIORITY: &str = "x-priority";
 /// For how long whoever turns a request away wants no other, in seconds.
-pub const REST: &str = "retry-after";
+pub const RETRY_AFTER: &str = "retry-after";
 
 /// The statuses with which an upstream turns a request away for now.
 const TURNED_AWAY: [u16; 2] = [429, 503];
@@ -48,15 +48,15 @@
 
 /// Reads for how long an upstream wants no requests. What is no number of seconds above 0, such as
 /// a date, counts as not said.
-pub fn rest(value: &str) -> Option<Span> {
+pub fn parse_retry_after(value: &str) -> Option<Span> {
     let seconds: f64 = value.trim().parse().ok()?;
     (seconds > 0.0).then(|| Span::from_secs_f64(seconds.min(LONGEST_REST_S)))
 }
 
 /// Returns for how long an upstream wants no requests by an answer that turns one away; of two
 /// times the longer counts.
-pub fn rest_in(status: u16, headers: &[Header]) -> Option<Span> {
-    let named = headers.iter().filter(|h| h.name == REST);
-    let longest = named.filter_map(|h| rest(&h.value)).max();
+pub fn retry_after(status: u16, headers: &[Header]) -> Option<Span> {
+    let named = headers.iter().filter(|h| h.name == RETRY_AFTER);
+    let longest = named.filter_map(|h| parse_retry_after(&h.value)).max();
     longest.filter(|_| TURNED_AWAY.contains(&status))
 }
--- a/crates/core/src/promise.rs
+++ b/crates/core/src/invariant.rs
@@ -4,12 +4,12 @@
 //! checks are on in release builds.
 //!
 //! ```
-//! use sorreldeck::{Promise, Promises};
+//! use sorreldeck::{Invariant, Invariants};
 //!
-//! let mut promises = Promises::default();
-//! assert!(promises.check(Promise::BilledOnce, true));
-//! assert!(!promises.check(Promise::BilledOnce, false));
-//! assert_eq!(promises.violated(Promise::BilledOnce), 1);
+//! let mut promises = Invariants::default();
+//! assert!(promises.check(Invariant::BilledOnce, true));
+//! assert!(!promises.check(Invariant::BilledOnce, false));
+//! assert_eq!(promises.violated(Invariant::BilledOnce), 1);
 //! ```
 
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
 /// What must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Promise {
+pub enum Invariant {
     /// A request runs only on a model and version its client account allows.
     AllowedVersion,
     /// A withdrawn version receives no new work.
@@ -41,39 +41,39 @@
     Configuration,
 }
 
-impl Promise {
+impl Invariant {
     /// Every promise, in the order of the brief.
-    pub const ALL: [Promise; 10] = [
-        Promise::AllowedVersion,
-        Promise::Withdrawn,
-        Promise::Session,
-        Promise::BilledOnce,
-        Promise::WholeAnswer,
-        Promise::NotRun,
-        Promise::AtMostOnce,
-        Promise::Leaving,
-        Promise::PlannedStop,
-        Promise::Configuration,
+    pub const ALL: [Invariant; 10] = [
+        Invariant::AllowedVersion,
+        Invariant::Withdrawn,
+        Invariant::Session,
+        Invariant::BilledOnce,
+        Invariant::WholeAnswer,
+        Invariant::NotRun,
+        Invariant::AtMostOnce,
+        Invariant::Leaving,
+        Invariant::PlannedStop,
+        Invariant::Configuration,
     ];
 
     /// Returns the short name used in metrics and reports.
     pub fn as_str(self) -> &'static str {
         match self {
-            Promise::AllowedVersion => "allowed_version",
-            Promise::Withdrawn => "withdrawn",
-            Promise::Session => "session",
-            Promise::BilledOnce => "billed_once",
-            Promise::WholeAnswer => "whole_answer",
-            Promise::NotRun => "not_run",
-            Promise::AtMostOnce => "at_most_once",
-            Promise::Leaving => "leaving",
-            Promise::PlannedStop => "planned_stop",
-            Promise::Configuration => "configuration",
+            Invariant::AllowedVersion => "allowed_version",
+            Invariant::Withdrawn => "withdrawn",
+            Invariant::Session => "session",
+            Invariant::BilledOnce => "billed_once",
+            Invariant::WholeAnswer => "whole_answer",
+            Invariant::NotRun => "not_run",
+            Invariant::AtMostOnce => "at_most_once",
+            Invariant::Leaving => "leaving",
+            Invariant::PlannedStop => "planned_stop",
+            Invariant::Configuration => "configuration",
         }
     }
 }
 
-impl fmt::Display for Promise {
+impl fmt::Display for Invariant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -81,15 +81,15 @@
 
 /// How often each promise was checked and found broken.
 #[derive(Clone, Debug, Default)]
-pub struct Promises {
-    checked: [u64; Promise::ALL.len()],
-    violated: [u64; Promise::ALL.len()],
+pub struct Invariants {
+    checked: [u64; Invariant::ALL.len()],
+    violated: [u64; Invariant::ALL.len()],
 }
 
-impl Promises {
+impl Invariants {
     /// Counts a check and returns whether the promise held.
     #[must_use = "an action that would break a promise must be refused"]
-    pub fn check(&mut self, promise: Promise, held: bool) -> bool {
+    pub fn check(&mut self, promise: Invariant, held: bool) -> bool {
         self.checked[promise as usize] += 1;
         if !held {
             self.violated[promise as usize] += 1;
@@ -98,12 +98,12 @@
     }
 
     /// Returns how often a promise was checked.
-    pub fn checked(&self, promise: Promise) -> u64 {
+    pub fn checked(&self, promise: Invariant) -> u64 {
         self.checked[promise as usize]
     }
 
     /// Returns how often a promise was found broken.
-    pub fn violated(&self, promise: Promise) -> u64 {
+    pub fn violated(&self, promise: Invariant) -> u64 {
         self.violated[promise as usize]
     }
 }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -13,13 +13,13 @@
 //! so the fence rises with the store's clock besides.
 //!
 //! ```
-//! use sorreldeck::lease::{Keeper, Step};
+//! use sorreldeck::lease::{Elector, Step};
 //! use sorreldeck::{Incarnation, Time};
 //!
-//! let mut keeper = Keeper::new("e1".parse()?, Incarnation(1));
-//! let Step::Write { lease, expect } = keeper.see(0.into(), None, Time(0)) else { panic!() };
+//! let mut keeper = Elector::new("e1".parse()?, Incarnation(1));
+//! let Step::Write { lease, expect } = keeper.observe(0.into(), None, Time(0)) else { panic!() };
 //! assert_eq!((lease.fence, expect), (1, 0));
-//! keeper.see(7.into(), Some(lease), Time(1000));
+//! keeper.observe(7.into(), Some(lease), Time(1000));
 //! assert_eq!(keeper.held(Time(1000)), Some((7.into(), 1)));
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
@@ -34,7 +34,7 @@
     term: Span::from_millis(6000),
     margin: Span::from_millis(1000),
     renew_after: Span::from_millis(2000),
-    is_kept: true,
+    is_durable: true,
 };
 
 /// The bits of a fence that hold the store's clock, in milliseconds: 34 years. Above them stands
@@ -53,7 +53,7 @@
     /// How old a lease is when its holder renews it.
     pub renew_after: Span,
     /// Whether a row that is missing was never there, as long as the era is the first that was seen.
-    pub is_kept: bool,
+    pub is_durable: bool,
 }
 
 /// The row of a lease.
@@ -88,7 +88,7 @@
 
 /// One process's view of a lease.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct Elector {
     me: InstanceId,
     incarnation: Incarnation,
     terms: Terms,
@@ -113,15 +113,15 @@
     from: Time,
 }
 
-impl Keeper {
+impl Elector {
     /// Creates a view that has seen nothing, with the usual [`TERMS`].
-    pub fn new(me: InstanceId, incarnation: Incarnation) -> Keeper {
-        Keeper::with(me, incarnation, TERMS)
+    pub fn new(me: InstanceId, incarnation: Incarnation) -> Elector {
+        Elector::with_terms(me, incarnation, TERMS)
     }
 
     /// Creates a view that has seen nothing.
-    pub fn with(me: InstanceId, incarnation: Incarnation, terms: Terms) -> Keeper {
-        Keeper {
+    pub fn with_terms(me: InstanceId, incarnation: Incarnation, terms: Terms) -> Elector {
+        Elector {
             me,
             incarnation,
             terms,
@@ -136,11 +136,11 @@
     /// and may act on it now.
     pub fn held(&self, now: Time) -> Option<(Stamp, u64)> {
         let held = self.held?;
-        (self.left(now) > Span::default()).then_some((held.at, held.fence))
+        (self.remaining(now) > Span::default()).then_some((held.at, held.fence))
     }
 
     /// Returns for how long this process may act on the lease yet.
-    pub fn left(&self, now: Time) -> Span {
+    pub fn remaining(&self, now: Time) -> Span {
         let acts = self.terms.term - self.terms.margin;
         self.held
             .map_or(Span::default(), |held| acts - now.since(held.from))
@@ -151,8 +151,8 @@
     ///
     /// A row that this process wrote itself counts as held from the time at
     /// which the write was sent, whether or not the write was answered.
-    pub fn see(&mut self, at: Stamp, lease: Option<Lease>, now: Time) -> Step {
-        self.note(at, lease, now);
+    pub fn observe(&mut self, at: Stamp, lease: Option<Lease>, now: Time) -> Step {
+        self.record(at, lease, now);
         let is_held = self.is_own() && self.held.is_some();
         let is_due = self
             .held
@@ -166,7 +166,7 @@
     }
 
     /// Takes in the row as it was read; `at` is its version, 0 where there is no row.
-    pub fn note(&mut self, at: Stamp, lease: Option<Lease>, now: Time) {
+    pub fn record(&mut self, at: Stamp, lease: Option<Lease>, now: Time) {
         self.first_era.get_or_insert(at.era);
         let known = self.seen.as_ref().is_some_and(|seen| seen.at == at);
         if !known {
@@ -203,7 +203,7 @@
         let at = seen.at;
         let is_current = seen.lease.as_ref().is_some_and(|l| l.era >= at.era);
         let is_lapsed = now.since(seen.since) > self.terms.term;
-        let is_kept = self.terms.is_kept && self.first_era == Some(at.era);
+        let is_kept = self.terms.is_durable && self.first_era == Some(at.era);
         let is_new = seen.lease.is_none() && is_kept;
         let holds = match is_current {
             true => self.is_own(),
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -30,7 +30,7 @@
 /// How often an entry reports its demand.
 pub const REPORT_EVERY: Span = Span::from_millis(500);
 /// How long a share holds that is not renewed.
-pub const GRANT_LIFE: Span = Span::from_millis(5000);
+pub const GRANT_TTL: Span = Span::from_millis(5000);
 /// The part of a limit that is spread evenly, so that an entry whose traffic
 /// begins does not have to wait for its first share.
 const EVEN_PART: f64 = 0.06;
@@ -182,7 +182,7 @@
     }
 
     /// Notes the end of a request and what it used beyond what was expected.
-    pub fn ended(&mut self, account: &AccountId, beyond: f64) {
+    pub fn settle(&mut self, account: &AccountId, beyond: f64) {
         if let Some(own) = self.accounts.get_mut(account) {
             own.running = own.running.saturating_sub(1);
             if let Some((_, bucket)) = &mut own.tokens {
@@ -192,7 +192,7 @@
     }
 
     /// Notes a share given by the account's home.
-    pub fn granted(&mut self, account: &AccountId, share: f64, now: Time) {
+    pub fn set_share(&mut self, account: &AccountId, share: f64, now: Time) {
         if let Some(own) = self.accounts.get_mut(account) {
             own.share = share;
             own.granted = Some(now);
@@ -236,7 +236,7 @@
 
     /// Brings the buckets to the settings and the share in force.
     fn refresh(&mut self, node: &Node, even: f64, now: Time) {
-        let fresh = self.granted.is_some_and(|t| now.since(t) < GRANT_LIFE);
+        let fresh = self.granted.is_some_and(|t| now.since(t) < GRANT_TTL);
         if !fresh {
             // Nobody keeps the sum any more, so no more than the even part.
             self.share = self.share.min(even);
@@ -361,7 +361,7 @@
         let started = *self.since.get_or_insert(now);
         let claims = self.accounts.entry(demand.account.clone()).or_default();
         let share = claims.note(link, demand, now);
-        let warm = now.since(started) >= GRANT_LIFE;
+        let warm = now.since(started) >= GRANT_TTL;
         if warm {
             claims.adjust(now);
         }
@@ -378,8 +378,8 @@
     }
 
     /// Forgets an entry whose link is gone; its shares are free after
-    /// [`GRANT_LIFE`], since it may go on using them that long.
-    pub fn unlink(&mut self, link: Link) {
+    /// [`GRANT_TTL`], since it may go on using them that long.
+    pub fn remove_link(&mut self, link: Link) {
         for claims in self.accounts.values_mut() {
             if let Some(claim) = claims.by_link.get_mut(&link) {
                 claim.demand = 0.0;
@@ -393,7 +393,7 @@
     /// Notes a demand and returns the share that the entry has until now.
     fn note(&mut self, link: Link, demand: &Demand, now: Time) -> f64 {
         self.by_link
-            .retain(|_, claim| now.since(claim.heard) < GRANT_LIFE + GRANT_LIFE);
+            .retain(|_, claim| now.since(claim.heard) < GRANT_TTL + GRANT_TTL);
         let share = self.by_link.get(&link).map_or(0.0, |claim| claim.share);
         let claim = Claim {
             demand: demand.demand,
--- a/crates/core/src/pick/peer.rs
+++ b/crates/core/src/pick/peer.rs
@@ -266,7 +266,7 @@
     /// Returns how long reading these tokens takes, and what is read before them, in
     /// microseconds.
     fn work(&self, rate: Option<Rate>, fresh: u64, unread: Span) -> u64 {
-        let (rate, before) = match (self.load.prefill, rate) {
+        let (rate, before) = match (self.load.prefill_rate, rate) {
             (0, Some(learned)) => (learned.per_second(), behind(unread)),
             (0, None) => (f64::from(PREFILL), self.since(f64::from(PREFILL))),
             (told, _) => (f64::from(told), self.since(f64::from(told))),
--- a/crates/core/src/quarantine/fingerprint.rs
+++ b/crates/core/src/quarantine/fingerprint.rs
@@ -30,7 +30,7 @@
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        Fingerprint(digest::short(&hasher.finalize()))
+        Fingerprint(digest::truncate(&hasher.finalize()))
     }
 }
 
--- a/crates/core/src/sidecar.rs
+++ b/crates/core/src/sidecar.rs
@@ -14,7 +14,7 @@
 //!     incarnation: Incarnation(1),
 //!     slots: 8,
 //!     reserve: 1,
-//!     prefill: 8000,
+//!     prefill_rate: 8000,
 //!     fifo: false,
 //! });
 //! let out = sidecar.handle(Time(0), Input::LinkUp(1));
@@ -28,14 +28,14 @@
 use crate::failure::{Failure, Reason};
 use crate::header;
 use crate::id::*;
-use crate::ledger::Ledger;
+use crate::slots::Slots;
 use crate::limit::{Allocator, Demand};
 use crate::pick::Link;
-use crate::promise::{Promise, Promises};
+use crate::invariant::{Invariant, Invariants};
 use crate::quarantine::{Told, Word};
 use crate::queue::{Item, Next, Queue};
 use crate::route;
-use crate::store::{Batch, Held};
+use crate::spool::{Batch, Spool};
 use crate::tree::{Class, Tree};
 use crate::unit::*;
 use crate::verdict::Verdict;
@@ -71,7 +71,7 @@
     /// The slots kept for the priority class.
     pub reserve: u32,
     /// The prompt tokens that the upstream works through in a second.
-    pub prefill: u32,
+    pub prefill_rate: u32,
     /// First come first served, without shedding: a baseline for experiments.
     pub fifo: bool,
 }
@@ -114,7 +114,7 @@
     /// Time passed.
     Tick,
     /// The process is to stop when its work is done.
-    Leave,
+    Drain,
 }
 
 /// What a sidecar wants done.
@@ -154,11 +154,11 @@
 pub struct Sidecar {
     settings: Settings,
     tree: Arc<Tree>,
-    ledger: Ledger,
+    ledger: Slots,
     queue: Queue<Waiting>,
     runs: HashMap<Run, Running>,
     links: BTreeSet<Link>,
-    held: Held,
+    held: Spool,
     allocator: Allocator,
     pool: Pool,
     /// What entries told of requests under which upstreams crashed.
@@ -168,7 +168,7 @@
     leaving: bool,
     service: f64,
     reported: Time,
-    promises: Promises,
+    promises: Invariants,
     counters: Counters,
 }
 
@@ -198,8 +198,8 @@
     /// came in.
     pub fn new(settings: Settings) -> Sidecar {
         Sidecar {
-            ledger: Ledger::new(settings.slots, settings.reserve),
-            held: Held::new(settings.incarnation),
+            ledger: Slots::new(settings.slots, settings.reserve),
+            held: Spool::new(settings.incarnation),
             settings,
             tree: Arc::default(),
             queue: Queue::default(),
@@ -212,7 +212,7 @@
             leaving: false,
             service: SERVICE_PER_TOKEN,
             reported: Time::default(),
-            promises: Promises::default(),
+            promises: Invariants::default(),
             counters: Counters::default(),
         }
     }
@@ -227,9 +227,9 @@
             Input::Upstream(run, event) => self.upstream(now, run, event, &mut out),
             Input::Tree(tree) => self.adopt(now, tree, &mut out),
             Input::Written(batch) => self.written(batch, &mut out),
-            Input::NotWritten(batch) => self.held.not_written(batch, now),
+            Input::NotWritten(batch) => self.held.on_write_failed(batch, now),
             Input::Tick => self.tick(now, &mut out),
-            Input::Leave => self.leave(now, &mut out),
+            Input::Drain => self.leave(now, &mut out),
         }
         out
     }
@@ -240,7 +240,7 @@
     }
 
     /// Returns the counts of the promises.
-    pub fn promises(&self) -> &Promises {
+    pub fn invariants(&self) -> &Invariants {
         &self.promises
     }
 
@@ -263,11 +263,11 @@
     pub fn load(&self) -> Load {
         Load {
             running: self.ledger.running(),
-            slots: self.ledger.slots(),
+            slots: self.ledger.capacity(),
             reserve: self.settings.reserve,
             queued: self.queue.len() as u32,
             wait: self.wait_for(self.queue.cost()),
-            prefill: self.settings.prefill,
+            prefill_rate: self.settings.prefill_rate,
         }
     }
 
@@ -284,7 +284,7 @@
         out.push(Output::Send(link, Frame::Welcome(welcome)));
         let words = self.told.live(now);
         if !words.is_empty() {
-            out.push(Output::Send(link, Frame::Words(words)));
+            out.push(Output::Send(link, Frame::Quarantine(words)));
         }
         if self.leaving {
             out.push(Output::Send(link, Frame::Goodbye));
@@ -295,8 +295,8 @@
     /// calls run on, since stopping them would change what the caller is told.
     fn link_down(&mut self, now: Time, link: Link, out: &mut Outputs) {
         self.links.remove(&link);
-        self.held.unlink(link);
-        self.allocator.unlink(link);
+        self.held.remove_link(link);
+        self.allocator.remove_link(link);
         self.queue.sweep(now, |waiting| waiting.link == link);
         for (run, running) in &mut self.runs {
             if running.link != Some(link) {
@@ -315,7 +315,7 @@
             Frame::Start(start) => self.start(now, link, start, out),
             Frame::Cancel(run) => self.cancel(now, run, out),
             Frame::Revision(revision) => self.compare(link, revision, out),
-            Frame::Missing(revision) => out.push(Output::Ahead(link, revision)),
+            Frame::FetchChanges(revision) => out.push(Output::Ahead(link, revision)),
             Frame::Demand {
                 account,
                 demand,
@@ -336,7 +336,7 @@
                 version,
                 evidence,
             } => self.pool_evidence(link, entry, version, evidence, out),
-            Frame::Words(words) => self.pass_on(now, link, &words, out),
+            Frame::Quarantine(words) => self.pass_on(now, link, &words, out),
             _ => {}
         }
     }
@@ -345,7 +345,7 @@
     fn pass_on(&mut self, now: Time, from: Link, words: &[Word], out: &mut Outputs) {
         self.told.note(words, now);
         let others = self.links.iter().filter(|link| **link != from);
-        let send = |link: &Link| Output::Send(*link, Frame::Words(words.to_vec()));
+        let send = |link: &Link| Output::Send(*link, Frame::Quarantine(words.to_vec()));
         out.extend(others.map(send));
     }
 
@@ -365,7 +365,7 @@
             false => vec![link],
         };
         for link in told {
-            let frame = Frame::Pooled {
+            let frame = Frame::PooledEvidence {
                 version: version.clone(),
                 evidence: evidence.clone(),
                 bad,
@@ -387,7 +387,7 @@
     fn start(&mut self, now: Time, link: Link, start: Box<Start>, out: &mut Outputs) {
         let run = start.run;
         self.compare(link, start.revision, out);
-        if !self.ledger.note(run) {
+        if !self.ledger.record(run) {
             // A copy of a frame: the first one is being dealt with.
             return;
         }
@@ -400,7 +400,7 @@
         let wait = self.wait_for(before);
         let deadline = Span::from_micros(start.deadline_us);
         let full = !self.settings.fifo && !self.ledger.has_room(start.class);
-        if !start.patient && (full || self.works_on_urgent_prompt()) {
+        if !start.may_queue && (full || self.works_on_urgent_prompt()) {
             let failure = Failure::not_run(Reason::Overloaded, "there is no free place")
                 .retry_after(wait.max(RETRY_FLOOR));
             return self.refuse(link, run, failure, out);
@@ -487,7 +487,7 @@
 
     fn refuse(&mut self, link: Link, run: Run, failure: Failure, out: &mut Outputs) {
         let untouched = !self.runs.contains_key(&run);
-        let failure = match self.promises.check(Promise::NotRun, untouched) {
+        let failure = match self.promises.check(Invariant::NotRun, untouched) {
             true => failure,
             false => Failure::new(
                 Reason::Invariant,
@@ -534,7 +534,7 @@
             return self.refuse(waiting.link, run, failure, out);
         }
         let first = self.ledger.start(run);
-        if !self.promises.check(Promise::AtMostOnce, first) {
+        if !self.promises.check(Invariant::AtMostOnce, first) {
             return;
         }
         self.counters.started += 1;
@@ -564,8 +564,8 @@
         let known_better = start.revision > self.tree.revision();
         let serving = known_better || route::takes_work(&self.tree, version);
         let allowed = known_better || self.tree.allows(&start.account, version);
-        let held = self.promises.check(Promise::Withdrawn, serving)
-            & self.promises.check(Promise::AllowedVersion, allowed);
+        let held = self.promises.check(Invariant::Withdrawn, serving)
+            & self.promises.check(Invariant::AllowedVersion, allowed);
         match held {
             true => Ok(()),
             false => Err(Failure::not_run(
@@ -583,7 +583,7 @@
             }
             return;
         }
-        self.ledger.note(run);
+        self.ledger.record(run);
         for waiting in self.queue.sweep(now, |w| w.start.run == run) {
             let failure = Failure::not_run(Reason::Cancelled, "the caller went away");
             self.refuse(waiting.link, waiting.start.run, failure, out);
@@ -593,7 +593,7 @@
     fn upstream(&mut self, now: Time, run: Run, event: Event, out: &mut Outputs) {
         match event {
             Event::Head { status, headers } => {
-                self.note_rest(header::rest_in(status, &headers), now);
+                self.note_rest(header::retry_after(status, &headers), now);
                 self.head(run, status, headers, out);
             }
             Event::Data(data) => self.data(run, data, out),
@@ -702,21 +702,21 @@
             cost: prices.price_in.cost(usage.prompt) + prices.price_out.cost(usage.generated),
         };
         let first = self.held.add(record.clone(), running.link, now);
-        if !self.promises.check(Promise::BilledOnce, first) {
+        if !self.promises.check(Invariant::BilledOnce, first) {
             return None;
         }
         Some(record)
     }
 
     fn written(&mut self, batch: u64, out: &mut Outputs) {
-        for (link, runs) in self.held.written(batch) {
+        for (link, runs) in self.held.on_written(batch) {
             out.push(Output::Send(link, Frame::Billed(runs)));
         }
     }
 
     fn adopt(&mut self, now: Time, tree: Arc<Tree>, out: &mut Outputs) {
         let ahead = tree.revision() >= self.tree.revision();
-        if !self.promises.check(Promise::Configuration, ahead) {
+        if !self.promises.check(Invariant::Configuration, ahead) {
             return;
         }
         self.tree = tree;
@@ -787,7 +787,7 @@
         if self.ledger.has_room(Class::Standard) {
             return Span::default();
         }
-        let slots = f64::from(self.ledger.slots().max(1));
+        let slots = f64::from(self.ledger.capacity().max(1));
         let running = f64::from(self.ledger.running());
         let tokens: f64 = self.runs.values().map(|r| f64::from(r.tokens)).sum();
         // The next slot falls free after about the mean rest of a run.
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/slots.rs
@@ -1,11 +1,11 @@
 //! The exact count of what runs at one upstream.
 //!
 //! ```
-//! use sorreldeck::ledger::Ledger;
+//! use sorreldeck::slots::Slots;
 //! use sorreldeck::wire::Run;
 //! use sorreldeck::{Class, RequestId};
 //!
-//! let mut ledger = Ledger::new(2, 1);
+//! let mut ledger = Slots::new(2, 1);
 //! let run = Run::first(RequestId::new(1, 1));
 //! assert!(ledger.has_room(Class::Standard));
 //! assert!(ledger.start(run));
@@ -23,7 +23,7 @@
 
 /// The exact count of what runs at one upstream.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct Slots {
     slots: u32,
     reserve: u32,
     running: HashSet<Run>,
@@ -31,11 +31,11 @@
     order: VecDeque<Run>,
 }
 
-impl Ledger {
+impl Slots {
     /// Creates a ledger of `slots` places, of which `reserve` are kept for the
     /// priority class.
-    pub fn new(slots: u32, reserve: u32) -> Ledger {
-        Ledger {
+    pub fn new(slots: u32, reserve: u32) -> Slots {
+        Slots {
             slots,
             reserve: reserve.min(slots.saturating_sub(1)),
             running: HashSet::new(),
@@ -45,7 +45,7 @@
     }
 
     /// Returns the places.
-    pub fn slots(&self) -> u32 {
+    pub fn capacity(&self) -> u32 {
         self.slots
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Notes a run that was taken in; returns whether it is the first time.
-    pub fn note(&mut self, run: Run) -> bool {
+    pub fn record(&mut self, run: Run) -> bool {
         if !self.known.insert(run) {
             return false;
         }
--- a/crates/core/src/store.rs
+++ b/crates/core/src/spool.rs
@@ -6,10 +6,10 @@
 //! may write the same record: the bill is a set.
 //!
 //! ```
-//! use sorreldeck::store::Held;
+//! use sorreldeck::spool::Spool;
 //! use sorreldeck::{Incarnation, Time};
 //!
-//! let mut held = Held::new(Incarnation(1));
+//! let mut held = Spool::new(Incarnation(1));
 //! assert!(held.is_empty());
 //! assert!(held.due(Time(0), true).is_none());
 //! ```
@@ -52,7 +52,7 @@
 
 /// Records that are not known to be written.
 #[derive(Debug)]
-pub struct Held {
+pub struct Spool {
     incarnation: Incarnation,
     waiting: HashMap<Run, Entry>,
     batches: BTreeMap<u64, Batch>,
@@ -70,10 +70,10 @@
     batch: Option<u64>,
 }
 
-impl Held {
+impl Spool {
     /// Creates an empty holder.
-    pub fn new(incarnation: Incarnation) -> Held {
-        Held {
+    pub fn new(incarnation: Incarnation) -> Spool {
+        Spool {
             incarnation,
             waiting: HashMap::new(),
             batches: BTreeMap::new(),
@@ -118,7 +118,7 @@
     }
 
     /// Forgets records that another process has written.
-    pub fn billed(&mut self, runs: &[Run]) {
+    pub fn remove(&mut self, runs: &[Run]) {
         for run in runs {
             self.waiting.remove(run);
         }
@@ -128,7 +128,7 @@
     }
 
     /// Notes that a link is gone.
-    pub fn unlink(&mut self, link: Link) {
+    pub fn remove_link(&mut self, link: Link) {
         for entry in self.waiting.values_mut() {
             if entry.link == Some(link) {
                 entry.link = None;
@@ -142,7 +142,7 @@
         self.due_where(now, hurry, |_| true)
     }
 
-    /// Like [`Held::due`], but only for records whose link is gone.
+    /// Like [`Spool::due`], but only for records whose link is gone.
     pub fn due_orphans(&mut self, now: Time, hurry: bool) -> Option<Batch> {
         self.due_where(now, hurry, |entry| entry.link.is_none())
     }
@@ -201,7 +201,7 @@
     }
 
     /// Notes that a batch is in the store; returns whom to tell of what.
-    pub fn written(&mut self, number: u64) -> BTreeMap<Link, Vec<Run>> {
+    pub fn on_written(&mut self, number: u64) -> BTreeMap<Link, Vec<Run>> {
         self.in_flight = None;
         self.pause = MIN_PAUSE;
         let mut told: BTreeMap<Link, Vec<Run>> = BTreeMap::new();
@@ -224,7 +224,7 @@
 
     /// Notes that a batch may not be in the store; it is written again later
     /// under the same name.
-    pub fn not_written(&mut self, _number: u64, now: Time) {
+    pub fn on_write_failed(&mut self, _number: u64, now: Time) {
         self.in_flight = None;
         self.not_before = now + self.pause;
         self.pause = (self.pause + self.pause).min(MAX_PAUSE);
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -74,5 +74,5 @@
     hasher.update(left.as_bytes());
     hasher.update(&[0]);
     hasher.update(upstream.as_str().as_bytes());
-    digest::short(&hasher.finalize())
+    digest::truncate(&hasher.finalize())
 }
--- a/crates/core/src/warmup.rs
+++ b/crates/core/src/warmup.rs
@@ -40,7 +40,7 @@
 impl Entries {
     /// Creates the entries that are known to one of them; its own name may be among the others.
     pub fn new<'a>(own: &InstanceId, others: impl Iterator<Item = &'a InstanceId>) -> Entries {
-        let number = |name: &InstanceId| digest::short(&blake3::hash(name.as_str().as_bytes()));
+        let number = |name: &InstanceId| digest::truncate(&blake3::hash(name.as_str().as_bytes()));
         let others = others.filter(|name| *name != own).map(number);
         Entries {
             own: number(own),
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the next try of the same step.
-    pub fn again(self) -> Run {
+    pub fn next_attempt(self) -> Run {
         Run {
             attempt: self.attempt + 1,
             ..self
@@ -97,7 +97,8 @@
     #[serde(with = "span_micros")]
     pub wait: Span,
     /// The prompt tokens that the upstream works through in a second.
-    pub prefill: u32,
+    #[serde(rename = "prefill")]
+    pub prefill_rate: u32,
 }
 
 mod span_micros {
@@ -182,18 +183,20 @@
     pub tokens: u32,
     /// Whether the request may wait here; if not, it is refused at once when
     /// there is no room, to be tried elsewhere.
-    pub patient: bool,
+    #[serde(rename = "patient")]
+    pub may_queue: bool,
     /// The revision by which the entry decided.
     pub revision: Revision,
     /// The call itself.
     pub call: Call,
     /// What an upstream that is called directly is told besides.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub order: Option<Box<Order>>,
+    #[serde(rename = "order")]
+    pub metadata: Option<Box<Metadata>>,
 }
 
 /// The tables of the platform's store that entries follow.
-pub const TABLES: usize = 4;
+pub const TABLE_COUNT: usize = 4;
 
 /// A table of the platform's store as one entry gives it to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -209,7 +212,8 @@
     pub rows: Vec<(String, u64, serde_bytes::ByteBuf)>,
     /// What holds though the store has lost it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub kept: Vec<KeptRow>,
+    #[serde(rename = "kept")]
+    pub retained: Vec<RetainedRow>,
 }
 
 /// Up to which versions an entry knows the tables of the platform's store, in one era.
@@ -218,25 +222,25 @@
 /// read the versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Vec<u64>", into = "Vec<u64>")]
-pub struct Have {
+pub struct Cursor {
     /// The version of each table, 0 where it is not known in this era.
-    pub versions: [u64; TABLES],
+    pub versions: [u64; TABLE_COUNT],
     /// The era.
     pub era: Era,
 }
 
-impl From<Vec<u64>> for Have {
-    fn from(list: Vec<u64>) -> Have {
+impl From<Vec<u64>> for Cursor {
+    fn from(list: Vec<u64>) -> Cursor {
         let number = |at: usize| list.get(at).copied().unwrap_or(0);
-        Have {
+        Cursor {
             versions: std::array::from_fn(number),
-            era: Era(number(TABLES)),
+            era: Era(number(TABLE_COUNT)),
         }
     }
 }
 
-impl From<Have> for Vec<u64> {
-    fn from(have: Have) -> Vec<u64> {
+impl From<Cursor> for Vec<u64> {
+    fn from(have: Cursor) -> Vec<u64> {
         let era = std::iter::once(have.era.0);
         have.versions.into_iter().chain(era).collect()
     }
@@ -245,7 +249,7 @@
 /// What was known of a row that the store lost when it came back from a copy, and that holds
 /// until it is written again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptRow {
+pub struct RetainedRow {
     /// The key.
     pub key: String,
     /// The era in which it was written.
@@ -255,7 +259,8 @@
     /// The value, or `None` where it was dropped.
     pub value: Option<serde_bytes::ByteBuf>,
     /// For how long it holds; `None` where that is not bound.
-    pub left: Option<Span>,
+    #[serde(rename = "left")]
+    pub remaining: Option<Span>,
 }
 
 /// Rows in one piece of memory, which the frames to many entries share.
@@ -309,7 +314,8 @@
     pub packed: Option<Packed>,
     /// What holds though the store has lost it, where the whole table is handed on.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub kept: Vec<KeptRow>,
+    #[serde(rename = "kept")]
+    pub retained: Vec<RetainedRow>,
 }
 
 /// What an entry tells one from which it has the tables of the platform's store.
@@ -320,25 +326,30 @@
     /// Its data hall.
     pub hall: Hall,
     /// The versions of the tables that it has, where they are to be sent from there.
-    pub have: Option<Have>,
+    #[serde(rename = "have")]
+    pub cursor: Option<Cursor>,
     /// Whether it reads the store itself.
     pub reads_store: bool,
     /// What it has found of moves to other releases.
-    pub found: Vec<(PoolId, Report)>,
+    #[serde(rename = "found")]
+    pub release_reports: Vec<(PoolId, Report)>,
     /// The prompts that it sent: the number of the upstream, and how long reading takes,
     /// in milliseconds.
-    pub sent: Vec<(u64, u32)>,
+    #[serde(rename = "sent")]
+    pub sent_prompts: Vec<(u64, u32)>,
     /// The sessions that it serves and that stay at their release.
-    pub stays: Vec<Stay>,
+    #[serde(rename = "stays")]
+    pub pinned_sessions: Vec<Stay>,
     /// The requests that were where upstreams crashed, and what became of them.
     #[serde(default)]
-    pub words: Vec<Word>,
+    #[serde(rename = "words")]
+    pub quarantine: Vec<Word>,
     /// What upstreams said of themselves.
     #[serde(default)]
     pub notices: Vec<notice::Word>,
     /// What it counted of the requests that began to run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub counts: Vec<duty::Part>,
+    pub counts: Vec<duty::Update>,
     /// The time of day less the store's clock as it has it, in microseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub epoch_us: Option<i64>,
@@ -349,7 +360,8 @@
 pub struct Feed {
     /// When the store was heard last, on its own clock, in microseconds; `None` if it never
     /// was. An age would grow too slowly where entries tell it one another in a circle.
-    pub heard_us: Option<u64>,
+    #[serde(rename = "heard_us")]
+    pub last_contact_us: Option<u64>,
     /// The time on the store's clock, in microseconds, where it is known.
     pub clock_us: Option<u64>,
     /// The era of the store that the entry knows.
@@ -360,15 +372,19 @@
     /// What changed in the tables.
     pub tables: Vec<TableDelta>,
     /// What the entries of data halls have found of moves to other releases.
-    pub found: Vec<(PoolId, Hall, Report)>,
+    #[serde(rename = "found")]
+    pub release_reports: Vec<(PoolId, Hall, Report)>,
     /// The prompts that entries sent: the number of the upstream, and how long reading
     /// takes, in milliseconds.
-    pub sent: Vec<(u64, u32)>,
+    #[serde(rename = "sent")]
+    pub sent_prompts: Vec<(u64, u32)>,
     /// The sessions that entries serve and that stay at their release.
-    pub stays: Vec<Stay>,
+    #[serde(rename = "stays")]
+    pub pinned_sessions: Vec<Stay>,
     /// The requests that were where upstreams crashed, and what became of them.
     #[serde(default)]
-    pub words: Vec<Word>,
+    #[serde(rename = "words")]
+    pub quarantine: Vec<Word>,
     /// What upstreams said of themselves.
     #[serde(default)]
     pub notices: Vec<notice::Word>,
@@ -379,7 +395,7 @@
 
 /// What an upstream that is called directly is told besides the call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Metadata {
     /// The caller's name for the request, which the answer must carry.
     pub label: String,
     /// The client account, if the request belongs to one.
@@ -391,11 +407,13 @@
     /// The order among waiting requests, 0 first.
     pub rank: u8,
     /// The last event that the caller has already.
-    pub last: Option<u64>,
+    #[serde(rename = "last")]
+    pub last_event_id: Option<u64>,
     /// Whether the answer is a stream of events.
     pub stream: bool,
     /// Whether the call may run at most once.
-    pub once: bool,
+    #[serde(rename = "once")]
+    pub at_most_once: bool,
 }
 
 /// What a run used.
@@ -418,7 +436,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// An entry's request for tables that are newer than these versions.
-    Want(Have),
+    #[serde(rename = "Want")]
+    FetchTables(Cursor),
     /// The tables that were asked for.
     Tables(Vec<TableCopy>),
     /// An entry asks for the tables from now on, and tells what it has found.
@@ -485,7 +504,8 @@
     /// The sender has this revision in force.
     Revision(Revision),
     /// Send the changes after this revision.
-    Missing(Revision),
+    #[serde(rename = "Missing")]
+    FetchChanges(Revision),
     /// Changes of the configuration, in order.
     Changes(Vec<Change>),
     /// The whole configuration, for a process that is too far behind.
@@ -515,7 +535,8 @@
     },
     /// What entries tell one another, by way of sidecars, of requests under which upstreams
     /// crashed.
-    Words(Vec<Word>),
+    #[serde(rename = "Words")]
+    Quarantine(Vec<Word>),
     /// What an entry has found out about a version, since it started.
     Evidence {
         /// The run of the entry.
@@ -526,7 +547,8 @@
         evidence: Evidence,
     },
     /// What all entries have found out about a version.
-    Pooled {
+    #[serde(rename = "Pooled")]
+    PooledEvidence {
         /// The version.
         version: VersionId,
         /// All that was found.
--- a/crates/core/tests/common/own.rs
+++ b/crates/core/tests/common/own.rs
@@ -33,7 +33,7 @@
         incarnation: Incarnation(100 + number),
         slots,
         reserve,
-        prefill: 1000,
+        prefill_rate: 1000,
         fifo: false,
     })
 }
--- a/crates/core/tests/duty/main.rs
+++ b/crates/core/tests/duty/main.rs
@@ -40,7 +40,7 @@
         let mut world = World::new(7, 3, 1);
         for number in 0..accounts {
             let account: AccountId = format!("b-{number}").parse().unwrap();
-            world.nodes[0].tally.began(&account, world.now);
+            world.nodes[0].tally.record(&account, world.now);
         }
         world.pass(secs(40));
         world.calls
@@ -56,11 +56,11 @@
         let account: AccountId = "mira".parse().unwrap();
         for window in 0..windows {
             let time = Time(window * LENGTH.micros() + 1);
-            other.began(&account, time);
-            tally.take(&"e-2".parse().unwrap(), other.changes());
-            tally.began(&account, time);
+            other.record(&account, time);
+            tally.merge(&"e-2".parse().unwrap(), other.take_changes());
+            tally.record(&account, time);
         }
-        tally.kept()
+        tally.retained()
     };
     assert_eq!(kept(50), kept(200));
 }
@@ -70,11 +70,11 @@
     let told = |accounts: usize| {
         let mut tally = Tally::new(Incarnation(1), LENGTH);
         for number in 0..accounts {
-            tally.began(&format!("a-{number}").parse().unwrap(), Time(1));
+            tally.record(&format!("a-{number}").parse().unwrap(), Time(1));
         }
-        tally.changes();
-        tally.began(&"a-0".parse().unwrap(), Time(2));
-        tally.changes()[0].counts.len()
+        tally.take_changes();
+        tally.record(&"a-0".parse().unwrap(), Time(2));
+        tally.take_changes()[0].counts.len()
     };
     assert_eq!((told(100), told(400)), (1, 1));
 }
@@ -84,13 +84,13 @@
     let account: AccountId = "mira".parse().unwrap();
     let mut head = Tally::new(Incarnation(9), LENGTH);
     let mut first = Tally::new(Incarnation(1), LENGTH);
-    first.began(&account, Time(1));
-    first.began(&account, Time(2));
-    head.take(&"e-1".parse().unwrap(), first.all());
-    head.take(&"e-1".parse().unwrap(), first.changes());
+    first.record(&account, Time(1));
+    first.record(&account, Time(2));
+    head.merge(&"e-1".parse().unwrap(), first.snapshot());
+    head.merge(&"e-1".parse().unwrap(), first.take_changes());
     let mut second = Tally::new(Incarnation(2), LENGTH);
-    second.began(&account, Time(3));
-    head.take(&"e-1".parse().unwrap(), second.changes());
+    second.record(&account, Time(3));
+    head.merge(&"e-1".parse().unwrap(), second.take_changes());
     assert_eq!(head.sum(Window(0)).of(&account), 3);
 }
 
--- a/crates/core/tests/duty/world.rs
+++ b/crates/core/tests/duty/world.rs
@@ -3,7 +3,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::duty::{
-    Around, Change, Counts, Duty, Outcome, Report, Row, Settings, Step, Tally, Window,
+    Context, Transaction, Counts, Reporter, Outcome, Report, Row, Settings, Step, Tally, Window,
 };
 use sorreldeck::era::{Era, Stamp};
 use sorreldeck::{AccountId, Hall, Incarnation, Span, Time};
@@ -46,7 +46,7 @@
 #[derive(Clone)]
 enum Call {
     Read,
-    Write(Change),
+    Write(Transaction),
     Report(Report),
 }
 
@@ -71,7 +71,7 @@
 pub struct Node {
     pub name: String,
     pub hall: Hall,
-    pub duty: Duty,
+    pub duty: Reporter,
     pub tally: Tally,
     pub is_gone: bool,
     starts: u64,
@@ -110,7 +110,7 @@
     store: Store,
     copies: VecDeque<Store>,
     /// Writes that are done later than their callers wait.
-    stray: Vec<(Time, Change)>,
+    stray: Vec<(Time, Transaction)>,
     away_until: Time,
     silent_until: Time,
     slow: Option<Span>,
@@ -120,19 +120,19 @@
 fn node(name: String, hall: Hall, starts: u64, is_first: bool) -> Node {
     let incarnation = Incarnation(starts);
     let settings = Settings {
-        own: name.parse().unwrap(),
+        instance: name.parse().unwrap(),
         incarnation,
         hall: hall.clone(),
-        length: LENGTH,
-        late: LATE,
+        window_length: LENGTH,
+        report_deadline: LATE,
         lease: LEASE,
-        gap: Span::from_millis(20),
+        min_report_interval: Span::from_millis(20),
         is_first_start: is_first,
     };
     Node {
         name,
         hall,
-        duty: Duty::new(settings),
+        duty: Reporter::new(settings),
         tally: Tally::new(incarnation, LENGTH),
         is_gone: false,
         starts,
@@ -212,7 +212,7 @@
             let account: AccountId = format!("a-{}", self.rng.random_range(0..7))
                 .parse()
                 .unwrap();
-            self.nodes[number].tally.began(&account, self.now);
+            self.nodes[number].tally.record(&account, self.now);
             let window = Window::at(self.now, LENGTH);
             self.truth.entry(window).or_default().add(&account, 1);
         }
@@ -226,10 +226,10 @@
                 continue;
             }
             let (name, hall) = (node.name.parse().unwrap(), node.hall.clone());
-            let parts = node.tally.changes();
+            let parts = node.tally.take_changes();
             for (other, node) in self.nodes.iter_mut().enumerate() {
                 if other != number && node.hall == hall {
-                    node.tally.take(&name, parts.clone());
+                    node.tally.merge(&name, parts.clone());
                 }
             }
         }
@@ -247,13 +247,13 @@
         if let Some(trip) = node.trip.take_if(|trip| now >= trip.ends) {
             end(node, trip, now);
         }
-        let around = Around {
-            reads: true,
-            leads,
+        let around = Context {
+            reads_store: true,
+            is_hall_leader: leads,
             halls: &halls,
             tally: &node.tally,
-            time: now,
-            clock: Some(Time(now.0 - START.0)),
+            utc: now,
+            store_time: Some(Time(now.0 - START.0)),
             epoch_us: Some(0),
         };
         let call = match node.duty.next(&around, now) {
@@ -284,7 +284,7 @@
         let mut takes = TICK;
         let mut most = Span::from_millis(1_500);
         if let Call::Report(report) = &call {
-            most = most.min(report.within);
+            most = most.min(report.timeout);
             takes = self.slow.unwrap_or(TICK).min(most);
         }
         let is_cut = now < self.nodes[number].cut_until;
@@ -350,7 +350,7 @@
         Answer::Rows(Era(self.store.era), rows.collect())
     }
 
-    fn change(&mut self, change: &Change) -> Option<Stamp> {
+    fn change(&mut self, change: &Transaction) -> Option<Stamp> {
         let store = &mut self.store;
         let version = |key: &String| store.rows.get(key).map_or(0, |(version, _)| *version);
         if change.expect.iter().any(|(key, v)| version(key) != *v) {
@@ -486,12 +486,12 @@
 
 fn end(node: &mut Node, trip: Trip, now: Time) {
     match (trip.call, trip.answer) {
-        (Call::Read, Some(Answer::Rows(era, rows))) => node.duty.read(Some(era), rows, now),
-        (Call::Write(_), Some(Answer::Written(made))) => node.duty.written(made, now),
+        (Call::Read, Some(Answer::Rows(era, rows))) => node.duty.on_read(Some(era), rows, now),
+        (Call::Write(_), Some(Answer::Written(made))) => node.duty.on_written(made, now),
         (Call::Report(_), Some(Answer::Reported)) => {
-            node.duty.reported(Outcome::Taken, now, now);
+            node.duty.on_reported(Outcome::Taken, now, now);
         }
-        (Call::Report(_), _) => node.duty.reported(Outcome::Unknown, now, now),
-        _ => node.duty.failed(now),
+        (Call::Report(_), _) => node.duty.on_reported(Outcome::Unknown, now, now),
+        _ => node.duty.on_failed(now),
     }
 }
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -26,7 +26,7 @@
         for i in 0..12 {
             let load = Load {
                 slots: 32,
-                prefill: 112_000,
+                prefill_rate: 112_000,
                 ..Load::default()
             };
             let link = first_link + i;
--- a/crates/core/tests/policy.rs
+++ b/crates/core/tests/policy.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::evidence::{Bar, Detector, Evidence};
-use sorreldeck::lease::{Keeper, Step};
+use sorreldeck::lease::{Elector, Step};
 use sorreldeck::limit::{Allocator, Demand};
 use sorreldeck::queue::{Item, Next, Queue};
 use sorreldeck::session::{Keyring, Session};
@@ -180,27 +180,27 @@
 
 #[test]
 fn a_paused_holder_of_a_lease_is_fenced() {
-    let keeper = |n: u64| Keeper::new(format!("e{n}").parse().unwrap(), Incarnation(n));
+    let keeper = |n: u64| Elector::new(format!("e{n}").parse().unwrap(), Incarnation(n));
     let (mut first, mut second) = (keeper(1), keeper(2));
-    let Step::Write { lease, .. } = first.see(0.into(), None, Time(0)) else {
+    let Step::Write { lease, .. } = first.observe(0.into(), None, Time(0)) else {
         panic!("a lease that nobody has is taken");
     };
-    first.see(1.into(), Some(lease.clone()), Time(0));
+    first.observe(1.into(), Some(lease.clone()), Time(0));
     assert!(first.held(Time(0)).is_some());
     assert_eq!(
-        second.see(1.into(), Some(lease.clone()), Time(0)),
+        second.observe(1.into(), Some(lease.clone()), Time(0)),
         Step::Wait
     );
     let later = Time(0) + Span::from_millis(7000);
     let Step::Write {
         lease: taken,
         expect,
-    } = second.see(1.into(), Some(lease), later)
+    } = second.observe(1.into(), Some(lease), later)
     else {
         panic!("a lease that is not renewed is taken over");
     };
     assert_eq!((taken.fence, expect), (2, 1));
-    second.see(2.into(), Some(taken), later);
+    second.observe(2.into(), Some(taken), later);
     // The first was paused all the while: by its own clock it holds nothing,
     // and the version that it would expect is no longer that of the row.
     assert_eq!(first.held(later), None);
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -478,7 +478,7 @@
         };
         for output in entries[0].handle(now, Input::Frame(link, fail)) {
             let Output::Word(word) = output else { continue };
-            let words = Frame::Words(vec![word]);
+            let words = Frame::Quarantine(vec![word]);
             for output in sidecars[0].handle(now, sidecar::Input::Frame(0, words)) {
                 if let sidecar::Output::Send(10, frame) = output {
                     entries[1].handle(now, Input::Frame(10, frame));
--- a/crates/core/tests/random.rs
+++ b/crates/core/tests/random.rs
@@ -14,7 +14,7 @@
 use sorreldeck::tree::{Edit, Key, Section};
 use sorreldeck::wire::{Call, Confidence, Frame, Run, Usage};
 use sorreldeck::{
-    Failure, Hall, Incarnation, Promise, Promises, Reason, RequestId, Span, Time, Tree, Verdict,
+    Failure, Hall, Incarnation, Invariant, Invariants, Reason, RequestId, Span, Time, Tree, Verdict,
     VersionId,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -146,13 +146,13 @@
         incarnation: Incarnation(incarnation),
         slots: 3,
         reserve: 1,
-        prefill: 1000,
+        prefill_rate: 1000,
         fifo: false,
     })
 }
 
-fn broken(promises: &Promises) -> u64 {
-    Promise::ALL.iter().map(|p| promises.violated(*p)).sum()
+fn broken(promises: &Invariants) -> u64 {
+    Invariant::ALL.iter().map(|p| promises.violated(*p)).sum()
 }
 
 impl World {
@@ -250,10 +250,10 @@
             self.sidecar_output(i, output);
         }
         assert_eq!(
-            broken(self.sidecars[i].promises()),
+            broken(self.sidecars[i].invariants()),
             0,
             "{:?}",
-            self.sidecars[i].promises()
+            self.sidecars[i].invariants()
         );
     }
 
@@ -289,7 +289,7 @@
             entry::Output::Word(word) => {
                 let wires = self.wires.values_mut().filter(|w| w.entry == i);
                 for wire in wires {
-                    wire.to_sidecar.push_back(Frame::Words(vec![word.clone()]));
+                    wire.to_sidecar.push_back(Frame::Quarantine(vec![word.clone()]));
                 }
             }
             entry::Output::Forward(..)
@@ -629,7 +629,7 @@
 
     fn replace_leaving(&mut self, nth: usize) {
         let i = nth % SIDECARS;
-        self.tell_sidecar(i, sidecar::Input::Leave);
+        self.tell_sidecar(i, sidecar::Input::Drain);
         if self.sidecars[i].is_idle() {
             self.incarnations += 1;
             self.cut_where(|w| w.sidecar == i);
--- a/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
+++ b/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
@@ -6,7 +6,7 @@
 use sorreldeck::session::{Keyring, Session};
 use sorreldeck::tree::{hash_key, parse_toml, Tree};
 use sorreldeck::wire::{Frame, Load, Start, Welcome};
-use sorreldeck::{Failure, Incarnation, Promise, Reason, RequestId, Revision, Time};
+use sorreldeck::{Failure, Incarnation, Invariant, Reason, RequestId, Revision, Time};
 use std::sync::Arc;
 
 const TREE: &str = r#"
@@ -91,5 +91,5 @@
     let outputs = entry.handle(Time(4), Input::Frame(link, fail));
     let (_, start) = start_in(&outputs);
     assert_eq!(start.version, Some("big-2".parse().unwrap()));
-    assert_eq!(entry.promises().violated(Promise::Session), 0);
+    assert_eq!(entry.promises().violated(Invariant::Session), 0);
 }
--- a/crates/core/tests/rest_behind_sidecars.rs
+++ b/crates/core/tests/rest_behind_sidecars.rs
@@ -35,10 +35,10 @@
         version: None,
         deadline_us: 20_000_000,
         tokens: 1,
-        patient: true,
+        may_queue: true,
         revision: Revision(0),
         call: own::call("/clock"),
-        order: None,
+        metadata: None,
     }))
 }
 
--- a/crates/core/tests/routed.rs
+++ b/crates/core/tests/routed.rs
@@ -7,7 +7,7 @@
 use sorreldeck::notice::Notice;
 use sorreldeck::pick::{Link, Place};
 use sorreldeck::release::{Order as MoveOrder, State};
-use sorreldeck::wire::{Confidence, Frame, Load, Order, Run};
+use sorreldeck::wire::{Confidence, Frame, Load, Metadata, Run};
 use sorreldeck::{Failure, Incarnation, Reason, RequestId, Span, Time, Verdict};
 use test_case::test_case;
 
@@ -71,7 +71,7 @@
 struct Sent {
     link: Link,
     run: Run,
-    order: Order,
+    order: Metadata,
     left: Span,
 }
 
@@ -85,7 +85,7 @@
         },
         load: Load {
             slots: 4,
-            prefill: 0,
+            prefill_rate: 0,
             ..Load::default()
         },
     };
@@ -179,7 +179,7 @@
         Output::Send(link, Frame::Start(start)) => Some(Sent {
             link: *link,
             run: start.run,
-            order: start.order.as_deref().cloned()?,
+            order: start.metadata.as_deref().cloned()?,
             left: Span::from_micros(start.deadline_us),
         }),
         _ => None,
@@ -482,7 +482,7 @@
     let outputs = stand.fail(&first, Verdict::MayHaveRun);
     let second = sent(&outputs).unwrap();
     assert_ne!(second.link, first.link);
-    assert_eq!(second.order.last, Some(3));
+    assert_eq!(second.order.last_event_id, Some(3));
     assert!(answer(&outputs).is_none());
     assert!(
         answer(&stand.head(&second, 200, None)).is_none(),
@@ -508,7 +508,7 @@
     let third = sent(&stand.fail(&second, Verdict::MayHaveRun)).unwrap();
     let outputs = stand.fail(&third, Verdict::NotRun);
     let fourth = sent(&outputs).expect("nothing ran there");
-    assert_eq!(fourth.order.last, Some(3));
+    assert_eq!(fourth.order.last_event_id, Some(3));
     let outputs = stand.fail(&fourth, Verdict::MayHaveRun);
     assert!(sent(&outputs).is_none(), "three runs are allowed");
     assert!(failure(&outputs).is_some());
@@ -567,7 +567,7 @@
     stand.events(&first, 1);
     let outputs = stand.pass(1_000);
     assert!(cancelled(&outputs, first.run), "the first run is stopped");
-    assert_eq!(sent(&outputs).unwrap().order.last, Some(1));
+    assert_eq!(sent(&outputs).unwrap().order.last_event_id, Some(1));
 }
 
 #[test]
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -404,7 +404,7 @@
         let changes = room
             .config
             .since(Revision(0))
-            .or_else(|| room.config.kept());
+            .or_else(|| room.config.retained());
         changes.and_then(|all| all.into_iter().find(|c| c.ticket == ticket))
     };
     shared.ask(find).await.flatten()
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -170,7 +170,7 @@
         class: header_of(request, header::CLASS),
         session: header_of(request, header::SESSION),
         once: header_of(request, header::ONCE).as_deref() == Some("true"),
-        idempotency: header_of(request, header::IDEMPOTENCY),
+        idempotency: header_of(request, header::IDEMPOTENCY_KEY),
         what,
     }
 }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -8,7 +8,7 @@
 use log::{info, warn};
 use serde_json::Value;
 use sorreldeck::era::Stamp;
-use sorreldeck::lease::{Keeper, Step};
+use sorreldeck::lease::{Elector, Step};
 use sorreldeck::tree::{Edit, Key, Section};
 use sorreldeck::{Incarnation, InstanceId};
 use sorreldeck_net::platform::{Platform, Transaction, Trouble};
@@ -27,7 +27,7 @@
 /// The lease of the controller at this process.
 #[derive(Debug)]
 pub struct Lease {
-    keeper: Keeper,
+    keeper: Elector,
     clock: Clock,
     read: Option<Instant>,
     holds: bool,
@@ -37,7 +37,7 @@
     /// Creates a lease that is not held.
     pub fn new(me: &InstanceId, incarnation: Incarnation) -> Lease {
         Lease {
-            keeper: Keeper::new(me.clone(), incarnation),
+            keeper: Elector::new(me.clone(), incarnation),
             clock: Clock::start(),
             read: None,
             holds: false,
@@ -74,7 +74,7 @@
     async fn renew(&mut self, platform: &Platform) -> Result<(), Trouble> {
         let (at, row) = self.look(platform).await?;
         let now = self.clock.now();
-        let Step::Write { lease, expect } = self.keeper.see(at, row, now) else {
+        let Step::Write { lease, expect } = self.keeper.observe(at, row, now) else {
             return Ok(());
         };
         let value = serde_json::to_value(&lease).map_err(|e| Trouble::Refused(e.to_string()))?;
@@ -82,7 +82,7 @@
         // Whatever the answer, the row tells whether the write took effect.
         let _ = platform.commit(&transaction).await;
         let (at, row) = self.look(platform).await?;
-        self.keeper.note(at, row, self.clock.now());
+        self.keeper.record(at, row, self.clock.now());
         Ok(())
     }
 
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -19,9 +19,9 @@
 use sorreldeck::entry::{Entry, Input, Output, Part, Rating, Sample, Settings};
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine;
-use sorreldeck::store::Batch;
+use sorreldeck::spool::Batch;
 use sorreldeck::wire::Frame;
-use sorreldeck::{Failure, Incarnation, Promise, Reason, RequestId, Tree};
+use sorreldeck::{Failure, Incarnation, Invariant, Reason, RequestId, Tree};
 use sorreldeck_net::http;
 use sorreldeck_net::link::{Event, Outbox, Traffic};
 use sorreldeck_net::platform::{Answer, Commit, Instance, Platform, Transaction, Trouble};
@@ -370,7 +370,7 @@
             Output::Write(batch) => self.write(batch),
             Output::Behind(link) => {
                 if self.asker.may_ask(self.config.revision()) {
-                    self.post(link, Frame::Missing(self.config.revision()));
+                    self.post(link, Frame::FetchChanges(self.config.revision()));
                 }
             }
             Output::Ahead(link, revision) => {
@@ -394,7 +394,7 @@
     /// Has the sidecars tell the other entries of requests; there are no links to these.
     fn tell_all(&self, word: &quarantine::Word) {
         for outbox in self.links.values() {
-            outbox.send(Frame::Words(vec![word.clone()]));
+            outbox.send(Frame::Quarantine(vec![word.clone()]));
         }
     }
 
@@ -466,7 +466,7 @@
 
     fn watch_promises(&mut self) {
         let promises = self.entry.promises();
-        let violated: u64 = Promise::ALL.iter().map(|p| promises.violated(*p)).sum();
+        let violated: u64 = Invariant::ALL.iter().map(|p| promises.violated(*p)).sum();
         if violated > self.violated {
             self.violated = violated;
             error!("a promise would have been broken; {violated} actions were refused");
--- a/crates/daemon/src/hosted/counted.rs
+++ b/crates/daemon/src/hosted/counted.rs
@@ -1,6 +1,6 @@
 //! What entries tell one another of the requests that began to run, and of the time of day.
 
-use sorreldeck::duty::{self, Part, Tally, Window};
+use sorreldeck::duty::{self, Update, Tally, Window};
 use sorreldeck::{AccountId, InstanceId, Span, Time};
 use std::collections::BTreeMap;
 
@@ -38,7 +38,7 @@
     /// microseconds.
     pub fn began(&mut self, account: &AccountId, now: Time, store: Option<u64>) {
         let time = self.time(now, store);
-        self.tally.began(account, time);
+        self.tally.record(account, time);
     }
 
     /// Returns true time, or this process's own where nothing better is known.
@@ -68,18 +68,18 @@
 
     /// Returns what is due to be told to sources that were told before; at once where this entry is
     /// `leaving`.
-    pub fn due(&mut self, leaving: bool, now: Time) -> Vec<Part> {
+    pub fn due(&mut self, leaving: bool, now: Time) -> Vec<Update> {
         let is_early = !leaving && now.since(self.told) < TELL_EVERY;
         if !self.tally.has_changes() || is_early {
             return Vec::new();
         }
         self.told = now;
-        self.tally.changes()
+        self.tally.take_changes()
     }
 
     /// Takes in what another entry of this data hall tells.
-    pub fn take(&mut self, entry: &InstanceId, parts: Vec<Part>, epoch: Option<i64>) {
-        self.tally.take(entry, parts);
+    pub fn take(&mut self, entry: &InstanceId, parts: Vec<Update>, epoch: Option<i64>) {
+        self.tally.merge(entry, parts);
         if let Some(epoch) = epoch {
             self.epochs.insert(entry.clone(), epoch);
         }
@@ -87,6 +87,6 @@
 
     /// Forgets the windows up to one, which are finished.
     pub fn finished(&mut self, window: Window) {
-        self.tally.forget_before(window.next());
+        self.tally.prune_before(window.next());
     }
 }
--- a/crates/daemon/src/hosted/duties.rs
+++ b/crates/daemon/src/hosted/duties.rs
@@ -7,7 +7,7 @@
 use async_channel::Sender;
 use async_std::task;
 use log::{info, warn};
-use sorreldeck::duty::{Around, Change, Duty, Outcome, Report, Row, Settings, Step};
+use sorreldeck::duty::{Context, Transaction, Reporter, Outcome, Report, Row, Settings, Step};
 use sorreldeck::era::Stamp;
 use sorreldeck::{Incarnation, Time};
 use sorreldeck_platform::store::{self, Page, Trouble};
@@ -16,7 +16,7 @@
 
 /// The duties of an entry.
 pub struct Duties {
-    duty: Duty,
+    duty: Reporter,
     cloud: Cloud,
     store: Store,
     tell: Sender<Message>,
@@ -44,7 +44,7 @@
     ) -> Option<Duties> {
         let asked = settings.duties.filter(|duties| duties.reports_usage)?;
         Some(Duties {
-            duty: Duty::new(settings_of(settings, &asked, incarnation)),
+            duty: Reporter::new(settings_of(settings, &asked, incarnation)),
             cloud: Cloud::new(asked.address),
             store,
             tell,
@@ -54,7 +54,7 @@
     }
 
     /// Returns the decisions.
-    pub fn duty(&self) -> &Duty {
+    pub fn duty(&self) -> &Reporter {
         &self.duty
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Begins the next call, if one is due.
-    pub fn step(&mut self, around: &Around, now: Time) {
+    pub fn step(&mut self, around: &Context, now: Time) {
         self.tell_of_lease(now);
         match self.duty.next(around, now) {
             Step::Read => self.read(),
@@ -119,16 +119,16 @@
         match read {
             Ok(page) => {
                 let rows = page.rows.into_iter().filter_map(row_of);
-                self.duty.read(page.era, rows.collect(), now);
+                self.duty.on_read(page.era, rows.collect(), now);
             }
             Err(trouble) => {
                 warn!("event=duty-not-read error={trouble}");
-                self.duty.failed(now);
+                self.duty.on_failed(now);
             }
         }
     }
 
-    fn write(&self, change: Change) {
+    fn write(&self, change: Transaction) {
         let (store, made) = (self.store.clone(), change_of(&change));
         let call = async move { store.change(&made).await };
         self.make(call, move |room, written| {
@@ -136,20 +136,20 @@
         });
     }
 
-    fn was_written(&mut self, change: &Change, written: Result<Stamp, Trouble>, now: Time) {
+    fn was_written(&mut self, change: &Transaction, written: Result<Stamp, Trouble>, now: Time) {
         let keys: Vec<&str> = change.put.iter().map(|(key, _)| key.as_str()).collect();
         match written {
             Ok(at) => {
                 info!("event=duty-written keys={keys:?} at={at}");
-                self.duty.written(Some(at), now);
+                self.duty.on_written(Some(at), now);
             }
             Err(Trouble::Conflict) => {
                 info!("event=duty-written keys={keys:?} at=- error=\"written by another\"");
-                self.duty.written(None, now);
+                self.duty.on_written(None, now);
             }
             Err(trouble) => {
                 warn!("event=duty-not-written keys={keys:?} error={trouble}");
-                self.duty.failed(now);
+                self.duty.on_failed(now);
             }
         }
     }
@@ -184,19 +184,19 @@
             Outcome::Taken => self.outcomes.taken += 1,
             Outcome::Refused | Outcome::Unknown => self.outcomes.failed += 1,
         }
-        self.duty.reported(outcome, time, now);
+        self.duty.on_reported(outcome, time, now);
     }
 }
 
 fn settings_of(settings: &Process, asked: &settings::Duties, incarnation: Incarnation) -> Settings {
     Settings {
-        own: settings.instance.clone(),
+        instance: settings.instance.clone(),
         incarnation,
         hall: settings.hall.clone(),
-        length: asked.window,
-        late: asked.late,
+        window_length: asked.window,
+        report_deadline: asked.late,
         lease: asked.lease,
-        gap: asked.gap,
+        min_report_interval: asked.gap,
         is_first_start: settings.first_start,
     }
 }
@@ -209,7 +209,7 @@
     })
 }
 
-fn change_of(change: &Change) -> store::Change {
+fn change_of(change: &Transaction) -> store::Change {
     let mut made = store::Change::default();
     for (key, version) in &change.expect {
         made = made.expect(Table::Duties, key, *version);
--- a/crates/daemon/src/hosted/mirror/mod.rs
+++ b/crates/daemon/src/hosted/mirror/mod.rs
@@ -19,7 +19,7 @@
 use sorreldeck::follow::{Peer, Watermark};
 use sorreldeck::quarantine::Fingerprint;
 use sorreldeck::release::{Order, State};
-use sorreldeck::wire::{Have, TableDelta};
+use sorreldeck::wire::{Cursor, TableDelta};
 use sorreldeck::{Hall, Incarnation, Span, Time, UpstreamId};
 use sorreldeck_platform::config::{self, Configuration};
 use sorreldeck_platform::member::Listed;
@@ -186,8 +186,8 @@
     }
 
     /// Returns up to which versions all tables are known in the era of the store.
-    pub fn have(&self) -> Have {
-        Have {
+    pub fn have(&self) -> Cursor {
+        Cursor {
             versions: Table::ALL.map(|table| self.base(table).unwrap_or(0)),
             era: self.era(),
         }
@@ -416,7 +416,7 @@
         let kept = copy.kept().filter(|_| since.is_none());
         let kept = kept.map(pack::kept_row).collect();
         Some(TableDelta {
-            kept,
+            retained: kept,
             number: table as usize,
             since,
             version: copy.stamp.version,
@@ -464,7 +464,7 @@
             era: Some(stamp.era),
         };
         let whole = delta.since.is_none();
-        let kept = delta.kept.into_iter().map(pack::kept);
+        let kept = delta.retained.into_iter().map(pack::kept);
         Taken::News(self.put(table, page, whole, kept.collect(), now))
     }
 
--- a/crates/daemon/src/hosted/pack.rs
+++ b/crates/daemon/src/hosted/pack.rs
@@ -9,7 +9,7 @@
 use flate2::write::DeflateEncoder;
 use flate2::Compression;
 use serde_bytes::ByteBuf;
-use sorreldeck::wire::KeptRow;
+use sorreldeck::wire::RetainedRow;
 use sorreldeck_platform::store::Row;
 use std::io::{Read, Write};
 
@@ -37,18 +37,18 @@
 }
 
 /// Returns what is kept of a row as it is handed on.
-pub fn kept_row(kept: &Kept) -> KeptRow {
-    KeptRow {
+pub fn kept_row(kept: &Kept) -> RetainedRow {
+    RetainedRow {
         key: kept.row.key.clone(),
         era: kept.era,
         version: kept.row.version,
         value: kept.row.value.clone().map(ByteBuf::from),
-        left: kept.left,
+        remaining: kept.left,
     }
 }
 
 /// Returns what was handed on of a row that is kept.
-pub fn kept(row: KeptRow) -> Kept {
+pub fn kept(row: RetainedRow) -> Kept {
     Kept {
         row: Row {
             key: row.key,
@@ -56,7 +56,7 @@
             version: row.version,
         },
         era: row.era,
-        left: row.left,
+        left: row.remaining,
     }
 }
 
--- a/crates/daemon/src/hosted/peer.rs
+++ b/crates/daemon/src/hosted/peer.rs
@@ -19,7 +19,7 @@
 use log::{info, warn};
 use sorreldeck::era::{Era, Stamp};
 use sorreldeck::pick::Link;
-use sorreldeck::wire::{Frame, Have, KeptRow, TableCopy};
+use sorreldeck::wire::{Frame, Cursor, RetainedRow, TableCopy};
 use sorreldeck::InstanceId;
 use sorreldeck_net::link::{self, Event, Keys, Outbox};
 use sorreldeck_platform::store::{Page, Row};
@@ -51,7 +51,7 @@
     version: u64,
     era: Era,
     rows: Vec<Row>,
-    kept: Vec<KeptRow>,
+    kept: Vec<RetainedRow>,
 }
 
 impl Snapshot {
@@ -170,7 +170,7 @@
     }
 
     /// Answers an entry that asks for tables once.
-    pub fn answer(&self, link: Link, have: &Have, mirror: &Mirror) {
+    pub fn answer(&self, link: Link, have: &Cursor, mirror: &Mirror) {
         let copies = newer(mirror, have);
         info!("event=asked-by-entry link={link} tables={}", copies.len());
         self.send(link, Frame::Tables(copies));
@@ -178,7 +178,7 @@
 }
 
 /// Returns the tables that are newer here than at whoever asks.
-fn newer(mirror: &Mirror, have: &Have) -> Vec<TableCopy> {
+fn newer(mirror: &Mirror, have: &Cursor) -> Vec<TableCopy> {
     let mut copies = Vec::new();
     for (number, table) in Table::ALL.iter().enumerate() {
         let theirs = Stamp::new(have.era, have.versions[number]);
@@ -195,7 +195,7 @@
             version: own.version,
             era: own.era,
             rows: mirror.stored(*table).filter_map(row).collect(),
-            kept: mirror.kept(*table).map(pack::kept_row).collect(),
+            retained: mirror.kept(*table).map(pack::kept_row).collect(),
         });
     }
     copies
@@ -212,7 +212,7 @@
         version: copy.version,
         era: copy.era,
         rows: copy.rows.into_iter().map(row).collect(),
-        kept: copy.kept,
+        kept: copy.retained,
     })
 }
 
@@ -220,12 +220,12 @@
     address: SocketAddr,
     keys: &Keys,
     shared: &Shared,
-    have: Have,
+    have: Cursor,
 ) -> eyre::Result<Vec<Snapshot>> {
     let open = link::connect(address, keys, shared.incarnation, clock::random()).await?;
     let (send, events) = async_channel::unbounded();
     let outbox = open.run(0, send, Arc::default());
-    outbox.send(Frame::Want(have));
+    outbox.send(Frame::FetchTables(have));
     while let Ok(event) = events.recv().await {
         let Event::Frames(_, frames) = event else {
             break;
--- a/crates/daemon/src/hosted/relay.rs
+++ b/crates/daemon/src/hosted/relay.rs
@@ -10,14 +10,14 @@
 use super::found::Found;
 use super::hints::{Hints, Stays};
 use super::mirror::{Mirror, News, Taken};
-use sorreldeck::duty::{Part, Tally};
+use sorreldeck::duty::{Update, Tally};
 use sorreldeck::era::Stamp;
 use sorreldeck::follow::{Action, Bounds, Follow, Peer, Reading, Word};
 use sorreldeck::notice;
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine;
 use sorreldeck::release::{Report, Stay};
-use sorreldeck::wire::{self, Feed, Frame, TABLES};
+use sorreldeck::wire::{self, Feed, Frame, TABLE_COUNT};
 use sorreldeck::{AccountId, Hall, InstanceId, PoolId, Span, Time};
 use sorreldeck_platform::Table;
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
     entry: InstanceId,
     hall: Hall,
     /// The versions that were sent.
-    have: [Stamp; TABLES],
+    have: [Stamp; TABLE_COUNT],
     sent: Time,
     /// Up to which count of changes what was found has been sent.
     found: u64,
@@ -105,9 +105,9 @@
     /// Whether the store did not answer this entry the last time.
     failing: bool,
     /// Which tables the store has answered for since it was away, or since they are read.
-    answered: [bool; TABLES],
+    answered: [bool; TABLE_COUNT],
     /// When each table was asked for anew last, or began to be read.
-    asked: [Time; TABLES],
+    asked: [Time; TABLE_COUNT],
     /// When it has answered for the operator's.
     operator: Time,
     /// What this entry's sources are to be told.
@@ -132,8 +132,8 @@
             takers: BTreeMap::new(),
             found: Found::default(),
             failing: false,
-            answered: [false; TABLES],
-            asked: [Time::default(); TABLES],
+            answered: [false; TABLE_COUNT],
+            asked: [Time::default(); TABLE_COUNT],
             operator: Time::default(),
             hints: Hints::default(),
             stays: Stays::default(),
@@ -196,7 +196,7 @@
         if table == Table::Operator {
             if std::mem::take(&mut self.failing) {
                 // The others begin anew by themselves.
-                self.asked = [now; TABLES];
+                self.asked = [now; TABLE_COUNT];
             }
             self.operator = now;
             self.follow.reached(now);
@@ -213,8 +213,8 @@
     /// Notes that what was answered before says nothing any more, since the machine was suspended or
     /// the store came back from a copy.
     pub fn begin_anew(&mut self, now: Time) {
-        self.answered = [false; TABLES];
-        self.asked = [now; TABLES];
+        self.answered = [false; TABLE_COUNT];
+        self.asked = [now; TABLE_COUNT];
     }
 
     /// Notes that the store has not answered for a table. One that does not answer for the
@@ -223,7 +223,7 @@
         self.answered[table as usize] = false;
         if table == Table::Operator {
             self.failing = true;
-            self.answered = [false; TABLES];
+            self.answered = [false; TABLE_COUNT];
             self.follow.missed();
         }
     }
@@ -390,8 +390,8 @@
                 Action::Open(name, address) => orders.push(Order::Open(name, address)),
                 Action::Read(reading) => {
                     self.failing &= reading != Reading::Nothing;
-                    self.answered = [false; TABLES];
-                    self.asked = [now; TABLES];
+                    self.answered = [false; TABLE_COUNT];
+                    self.asked = [now; TABLE_COUNT];
                     orders.push(Order::Read(reading));
                 }
                 Action::Close(name) => {
@@ -462,15 +462,15 @@
             false => Vec::new(),
         };
         let feed = Feed {
-            heard_us: self.follow.heard_at().and_then(|at| mirror.store_time(at)),
+            last_contact_us: self.follow.heard_at().and_then(|at| mirror.store_time(at)),
             clock_us: mirror.store_time(now),
             era: mirror.era(),
             leaving: self.leaving,
             tables,
-            found,
-            sent: taker.hints.prompts.clone(),
-            stays: taker.hints.stays.clone(),
-            words: taker.hints.words_at(now),
+            release_reports: found,
+            sent_prompts: taker.hints.prompts.clone(),
+            pinned_sessions: taker.hints.stays.clone(),
+            quarantine: taker.hints.words_at(now),
             notices: taker.hints.notices.clone(),
             epoch_us: self.counted.as_ref().and_then(Counted::agreed),
         };
@@ -515,12 +515,12 @@
                 follow.epoch_us = epoch;
             }
             if news {
-                follow.found = self.found.by(&self.own.name);
+                follow.release_reports = self.found.by(&self.own.name);
             }
             if told {
-                follow.sent.clone_from(&hints.prompts);
-                follow.stays.clone_from(&hints.stays);
-                follow.words = hints.words_at(now);
+                follow.sent_prompts.clone_from(&hints.prompts);
+                follow.pinned_sessions.clone_from(&hints.stays);
+                follow.quarantine = hints.words_at(now);
                 follow.notices.clone_from(&hints.notices);
                 was_told = true;
             }
@@ -546,12 +546,12 @@
         wire::Follow {
             entry: self.own.name.clone(),
             hall: self.own.hall.clone(),
-            have: None,
+            cursor: None,
             reads_store: self.reads_store(),
-            found: Vec::new(),
-            sent: Vec::new(),
-            stays: Vec::new(),
-            words: Vec::new(),
+            release_reports: Vec::new(),
+            sent_prompts: Vec::new(),
+            pinned_sessions: Vec::new(),
+            quarantine: Vec::new(),
             notices: Vec::new(),
             counts: Vec::new(),
             epoch_us: None,
@@ -567,8 +567,8 @@
             false => Vec::new(),
         };
         Frame::Follow(Box::new(wire::Follow {
-            have: Some(mirror.have()),
-            stays,
+            cursor: Some(mirror.have()),
+            pinned_sessions: stays,
             ..self.present()
         }))
     }
@@ -594,7 +594,7 @@
         now: Time,
     ) -> Vec<Order> {
         let is_near = asked.hall == self.own.hall;
-        if let Some(have) = asked.have {
+        if let Some(have) = asked.cursor {
             let have = have.versions.map(|version| Stamp::new(have.era, version));
             let taker = Taker {
                 entry: asked.entry.clone(),
@@ -619,9 +619,9 @@
         }
         if is_near {
             let hints = Hints {
-                prompts: asked.sent,
-                stays: asked.stays,
-                words: asked.words.into_iter().map(|word| (word, now)).collect(),
+                prompts: asked.sent_prompts,
+                stays: asked.pinned_sessions,
+                words: asked.quarantine.into_iter().map(|word| (word, now)).collect(),
                 notices: asked.notices,
             };
             self.stays.note(&hints.stays, now);
@@ -629,7 +629,7 @@
             self.pass_up(&hints);
             orders.extend(hints.orders());
         }
-        for (pool, report) in asked.found.into_iter().filter(|_| is_near) {
+        for (pool, report) in asked.release_reports.into_iter().filter(|_| is_near) {
             self.found
                 .note_near(pool.clone(), asked.entry.clone(), report);
             let others = self.found.near_but(&pool, &self.own.name);
@@ -672,16 +672,16 @@
         // than it is, here and at all that have the tables from here.
         // So would that of a source which does not know yet that the store came back from a copy.
         let is_current = !gap && feed.era >= mirror.era();
-        let heard = feed.heard_us.filter(|_| is_current);
+        let heard = feed.last_contact_us.filter(|_| is_current);
         let word = Word {
             store: heard.and_then(|micros| mirror.own_time(micros)),
             leaving: feed.leaving,
         };
         self.follow.heard(&name, word, now);
         let hints = Hints {
-            prompts: feed.sent,
-            stays: feed.stays,
-            words: feed.words.into_iter().map(|word| (word, now)).collect(),
+            prompts: feed.sent_prompts,
+            stays: feed.pinned_sessions,
+            words: feed.quarantine.into_iter().map(|word| (word, now)).collect(),
             notices: feed.notices,
         };
         self.stays.note(&hints.stays, now);
@@ -696,7 +696,7 @@
         if !is_near {
             self.tell_takers(&hints, None, false);
         }
-        for (pool, hall, report) in feed.found {
+        for (pool, hall, report) in feed.release_reports {
             if hall != self.own.hall {
                 self.found.note_far(&pool, &hall, &report);
             }
@@ -711,13 +711,13 @@
 
 /// Returns what a source is to be told of what was counted: all where it was told nothing yet, or
 /// else what has changed. `counted` is given where it is told of that at all.
-fn counts_for(source: &mut Source, changed: &[Part], counted: Option<&Counted>) -> Vec<Part> {
+fn counts_for(source: &mut Source, changed: &[Update], counted: Option<&Counted>) -> Vec<Update> {
     let Some(counted) = counted else {
         return Vec::new();
     };
     match std::mem::replace(&mut source.counted, true) {
         true => changed.to_vec(),
-        false => counted.tally().all(),
+        false => counted.tally().snapshot(),
     }
 }
 
--- a/crates/daemon/src/hosted/room.rs
+++ b/crates/daemon/src/hosted/room.rs
@@ -18,7 +18,7 @@
 use async_channel::{Receiver, Sender};
 use async_std::task;
 use log::{info, warn};
-use sorreldeck::duty::{Around, Tally};
+use sorreldeck::duty::{Context, Tally};
 use sorreldeck::entry::{
     Ask, Done, Entry, Input, Output, Part, Reply, Settings as Decisions, What,
 };
@@ -361,16 +361,16 @@
             return;
         };
         counted.agree(duties.duty().epoch_us());
-        if let Some(window) = duties.duty().finished() {
+        if let Some(window) = duties.duty().completed_through() {
             counted.finished(window);
         }
-        let around = Around {
-            reads,
-            leads,
+        let around = Context {
+            reads_store: reads,
+            is_hall_leader: leads,
             halls: &halls,
             tally: counted.tally(),
-            time: counted.time(now, store),
-            clock: store.map(Time),
+            utc: counted.time(now, store),
+            store_time: store.map(Time),
             epoch_us: counted.epoch(own),
         };
         duties.step(&around, now);
@@ -492,7 +492,7 @@
     }
 
     fn take_frame(&mut self, link: Link, frame: Frame) {
-        if let Frame::Want(have) = &frame {
+        if let Frame::FetchTables(have) = &frame {
             return self.peering.answer(link, have, &self.mirror);
         }
         let now = self.clock.now();
@@ -841,7 +841,7 @@
             self.relay.takers(),
             self.upstreams.len(),
             self.entry.history().len(),
-            self.relay.counted().map_or(0, |c| c.tally().kept()),
+            self.relay.counted().map_or(0, |c| c.tally().retained()),
         );
     }
 
--- a/crates/daemon/src/hosted/run.rs
+++ b/crates/daemon/src/hosted/run.rs
@@ -16,7 +16,7 @@
 use hyper::{Request, Response};
 use sorreldeck::entry::{Head, Reply};
 use sorreldeck::pick::Link;
-use sorreldeck::wire::{Header, Order, Run, Start};
+use sorreldeck::wire::{Header, Metadata, Run, Start};
 use sorreldeck::{Failure, Reason, Span, Time, Verdict};
 use sorreldeck_net::h1::{self, Channel};
 use sorreldeck_platform::call;
@@ -79,7 +79,7 @@
             tell: self.tell.clone(),
             link,
             run: start.run,
-            order: start.order.as_deref().cloned(),
+            order: start.metadata.as_deref().cloned(),
             clock: self.clock.clone(),
             began: self.clock.now(),
             left: Span::from_micros(start.deadline_us),
@@ -93,7 +93,7 @@
     tell: Sender<Message>,
     link: Link,
     run: Run,
-    order: Option<Order>,
+    order: Option<Metadata>,
     clock: Clock,
     began: Time,
     left: Span,
@@ -133,7 +133,7 @@
         let gone = || Failure::not_run(Reason::Leaving, "the upstream has just left");
         let address = address.ok_or_else(gone)?;
         let order = self.order.as_ref().ok_or_else(gone)?;
-        let mut channel = self.channel(address, order.once).await?;
+        let mut channel = self.channel(address, order.at_most_once).await?;
         let left = self.left_now()?;
         let request = request_of(start, order, left)?;
         let sent = channel.send(request).await;
@@ -296,7 +296,7 @@
     }
 }
 
-fn request_of(start: Start, order: &Order, left: Span) -> Result<Request<Full<Bytes>>, Failure> {
+fn request_of(start: Start, order: &Metadata, left: Span) -> Result<Request<Full<Bytes>>, Failure> {
     let bad = |e: hyper::http::Error| Failure::not_run(Reason::BadRequest, e.to_string());
     let mut builder = Request::builder()
         .method(start.call.method.as_str())
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -8,7 +8,7 @@
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
 use prometheus_client::registry::Registry;
 use sorreldeck::entry::Done;
-use sorreldeck::{Promise, Promises};
+use sorreldeck::{Invariant, Invariants};
 use sorreldeck_net::link::Traffic;
 use std::sync::atomic::Ordering;
 
@@ -290,8 +290,8 @@
     }
 
     /// Reads off the promises.
-    pub fn set_promises(&self, promises: &Promises) {
-        for promise in Promise::ALL {
+    pub fn set_promises(&self, promises: &Invariants) {
+        for promise in Invariant::ALL {
             let label = OfPromise {
                 promise: promise.to_string(),
             };
--- a/crates/daemon/src/sidecar.rs
+++ b/crates/daemon/src/sidecar.rs
@@ -14,9 +14,9 @@
 use sorreldeck::config::Config;
 use sorreldeck::pick::Link;
 use sorreldeck::sidecar::{Input, Output, Settings, Sidecar};
-use sorreldeck::store::Batch;
+use sorreldeck::spool::Batch;
 use sorreldeck::wire::{Frame, Run};
-use sorreldeck::{Incarnation, Promise};
+use sorreldeck::{Incarnation, Invariant};
 use sorreldeck_net::http::{self, Client};
 use sorreldeck_net::link::{self, Event, Keys, Outbox, Traffic};
 use sorreldeck_net::Platform;
@@ -93,7 +93,7 @@
             incarnation,
             slots: settings.slots,
             reserve: settings.reserve,
-            prefill: settings.prefill,
+            prefill_rate: settings.prefill,
             fifo: settings.fifo,
         }),
         config,
@@ -190,7 +190,7 @@
             if stop.load(Ordering::Relaxed) && stopping.is_none() {
                 info!("the sidecar leaves");
                 stopping = Some(Instant::now());
-                room.handle(Input::Leave);
+                room.handle(Input::Drain);
             }
             match stopping.is_some_and(|since| room.is_done(since)) {
                 true => Next::End,
@@ -284,7 +284,7 @@
             Output::Write(batch) => self.write(batch),
             Output::Behind(link) => {
                 if self.asker.may_ask(self.config.revision()) {
-                    self.post(link, Frame::Missing(self.config.revision()));
+                    self.post(link, Frame::FetchChanges(self.config.revision()));
                 }
             }
             Output::Ahead(link, revision) => {
@@ -312,8 +312,8 @@
     }
 
     fn watch_promises(&mut self) {
-        let promises = self.sidecar.promises();
-        let violated: u64 = Promise::ALL.iter().map(|p| promises.violated(*p)).sum();
+        let promises = self.sidecar.invariants();
+        let violated: u64 = Invariant::ALL.iter().map(|p| promises.violated(*p)).sum();
         if violated > self.violated {
             self.violated = violated;
             error!("a promise would have been broken; {violated} actions were refused");
@@ -327,7 +327,7 @@
         gauges.in_flight.set(i64::from(self.sidecar.load().running));
         gauges.unbilled.set(self.sidecar.unbilled() as i64);
         gauges.set_traffic(&self.traffic);
-        self.metrics.set_promises(self.sidecar.promises());
+        self.metrics.set_promises(self.sidecar.invariants());
         self.metrics.text()
     }
 }
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -195,7 +195,7 @@
             // These say that the engine took nothing in.
             429 | 503 => {
                 let failure = Failure::not_run(Reason::UpstreamFailed, message);
-                let retry_after = header::rest_in(incoming.status, &incoming.headers);
+                let retry_after = header::retry_after(incoming.status, &incoming.headers);
                 Err(Failure {
                     retry_after,
                     ..failure
--- a/crates/daemon/tests/relay/main.rs
+++ b/crates/daemon/tests/relay/main.rs
@@ -285,11 +285,11 @@
             era: Era::default(),
             rows: Vec::new(),
             packed: None,
-            kept: Vec::new(),
+            retained: Vec::new(),
         };
         let feed = sorreldeck::wire::Feed {
             clock_us: Some(1_000),
-            heard_us: Some(1_000),
+            last_contact_us: Some(1_000),
             tables: vec![table],
             ..Default::default()
         };
--- a/crates/daemon/tests/serving.rs
+++ b/crates/daemon/tests/serving.rs
@@ -91,7 +91,7 @@
         assert_eq!(fresh.header(header::VERSION), Some("scribe-2"));
         let kept = ask(&sample, &chat("scribe", "three"), &[session(&first)]).await;
         assert_eq!(kept.header(header::VERSION), Some("scribe-1"));
-        assert_eq!(kept.header(header::MOVED), None);
+        assert_eq!(kept.header(header::SESSION_MOVED), None);
         apply(
             &sample,
             "[versions.scribe-1]\nmodel = \"scribe\"\npool = \"assistant\"\nstate = \"withdrawn\"",
@@ -104,10 +104,10 @@
             "{}",
             moved.text()
         );
-        assert_eq!(moved.header(header::MOVED), Some("scribe-1"));
+        assert_eq!(moved.header(header::SESSION_MOVED), Some("scribe-1"));
         let stays = ask(&sample, &chat("scribe", "five"), &[session(&moved)]).await;
         assert_eq!(stays.header(header::VERSION), Some("scribe-2"));
-        assert_eq!(stays.header(header::MOVED), None);
+        assert_eq!(stays.header(header::SESSION_MOVED), None);
     });
 }
 
@@ -177,7 +177,7 @@
     task::block_on(async {
         let sample = start("").await;
         let headers = [
-            Header::new(header::IDEMPOTENCY, "k1"),
+            Header::new(header::IDEMPOTENCY_KEY, "k1"),
             Header::new(plain::KEY, "k1"),
         ];
         let first = plain_call(&sample, "POST", "/clock/in", &headers).await;
@@ -198,7 +198,7 @@
             ..Faults::default()
         });
         let headers = [
-            Header::new(header::IDEMPOTENCY, "k2"),
+            Header::new(header::IDEMPOTENCY_KEY, "k2"),
             Header::new(plain::KEY, "k2"),
         ];
         let keyed = plain_call(&sample, "POST", "/clock/in", &headers).await;
@@ -221,7 +221,7 @@
             ..Faults::default()
         });
         let headers = [
-            Header::new(header::IDEMPOTENCY, "k3"),
+            Header::new(header::IDEMPOTENCY_KEY, "k3"),
             Header::new(plain::KEY, "k3"),
         ];
         let reply = plain_call(&sample, "POST", "/clock/in", &headers).await;
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -473,7 +473,7 @@
     let resumable = given("x-resumable").is_some();
     if let Some(rest) = engine.rest() {
         let mut response = failure(503, "the engine rests");
-        response.insert_header(header::REST, rest.to_string());
+        response.insert_header(header::RETRY_AFTER, rest.to_string());
         return Ok(response);
     }
     let (fails, foreign, loaded) = {
