--- a/crates/bench/src/scale.rs
+++ b/crates/bench/src/scale.rs
@@ -285,7 +285,7 @@
         let mut first = WATCHED.secs_f64();
         while self.world.now < back + WATCHED {
             self.world.tick();
-            let is_informed = |node: &&usize| self.world.nodes[**node].mirror.is_informed();
+            let is_informed = |node: &&usize| self.world.nodes[**node].mirror.has_operator_table();
             let informed = nodes.iter().filter(is_informed).count();
             let passed = self.world.now.since(back).secs_f64();
             if informed > 0 {
--- a/crates/daemon/src/hosted/run.rs
+++ b/crates/daemon/src/hosted/client.rs
@@ -4,7 +4,7 @@
 //! new one: an upstream may close a kept one without notice, and whether what was
 //! sent just then ran would not be known.
 
-use super::room::Message;
+use super::event_loop::Message;
 use crate::clock::Clock;
 use crate::loss;
 use async_channel::Sender;
@@ -40,7 +40,7 @@
 type Pool = Arc<Mutex<HashMap<SocketAddr, Vec<Channel>>>>;
 
 /// Starts runs at upstreams.
-pub struct Caller {
+pub struct Client {
     kept: Pool,
     tell: Sender<Message>,
     clock: Clock,
@@ -57,10 +57,10 @@
     }
 }
 
-impl Caller {
+impl Client {
     /// Creates a caller without connections.
-    pub fn new(tell: Sender<Message>, clock: Clock) -> Caller {
-        Caller {
+    pub fn new(tell: Sender<Message>, clock: Clock) -> Client {
+        Client {
             kept: Pool::default(),
             tell,
             clock,
--- a/crates/daemon/src/hosted/duties.rs
+++ b/crates/daemon/src/hosted/duties.rs
@@ -3,7 +3,7 @@
 //! [`sorreldeck::duty`] decides; here stand the calls to the store and to the platform, and the
 //! lines in the log.
 
-use super::room::{Message, Room};
+use super::event_loop::{Message, EventLoop};
 use async_channel::Sender;
 use async_std::task;
 use log::{info, warn};
@@ -104,14 +104,14 @@
     fn make<T: Send + 'static>(
         &self,
         call: impl Future<Output = T> + Send + 'static,
-        take: impl FnOnce(&mut Room, T) + Send + 'static,
+        take: impl FnOnce(&mut EventLoop, T) + Send + 'static,
     ) {
         let tell = self.tell.clone();
         task::spawn(async move {
             let answer = call.await;
-            let take = move |room: &mut Room| take(room, answer);
+            let take = move |room: &mut EventLoop| take(room, answer);
             // The loop ends only with the process.
-            let _ = tell.send(Message::With(Box::new(take))).await;
+            let _ = tell.send(Message::Execute(Box::new(take))).await;
         });
     }
 
--- a/crates/daemon/src/hosted/room.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -2,14 +2,14 @@
 
 use super::answers::Answers;
 use super::duties::Duties;
-use super::feed::{Feed, Read, Update};
+use super::followers::{Followers, Read, Outcome};
 use super::holds::{Record, Recorder};
-use super::mirror::{Mirror, News, ENTRY};
+use super::mirror::{Mirror, Update, ENTRY_PREFIX};
 use super::mover::{Mover, Proposal};
 use super::peer::{self, Peering};
-use super::relay::{self, Order, Relay};
+use super::relay::{self, Command, Relay};
 use super::restorer::Restorer;
-use super::run::{self, Caller};
+use super::client::{self, Client};
 use super::shared::{self, Shared};
 use crate::clock::{self, Clock};
 use crate::metrics::Metrics;
@@ -82,31 +82,31 @@
     /// A request and where its answer goes.
     Ask(Box<Ask>, Sender<Part>),
     /// A caller went away.
-    Gone(RequestId),
+    Disconnected(RequestId),
     /// What an upstream does with a run.
     Reply(Link, Run, Reply),
     /// What a follower of the store tells.
-    Store(Table, Update),
+    Store(Table, Outcome),
     /// What another entry knows.
     Snapshots(Vec<peer::Snapshot>),
     /// Something happened on a link to another entry.
     Link(Event),
     /// A link that another entry opened.
-    LinkUp(Link, Outbox),
+    LinkAccepted(Link, Outbox),
     /// What came of opening a link to an entry.
-    Opened(InstanceId, Link, Result<Outbox, String>),
+    LinkOpened(InstanceId, Link, Result<Outbox, String>),
     /// A record of a move was written, or not.
-    Moved(String, Result<(), String>),
+    MoveRecorded(String, Result<(), String>),
     /// Rows that the store had lost were written again, or not.
-    WrittenAgain(Result<(), String>),
+    RowsRestored(Result<(), String>),
     /// A record of a request that is held back was written, or not.
-    Recorded(Fingerprint, Result<(), String>),
+    HoldRecorded(Fingerprint, Result<(), String>),
     /// Something that only the loop can do.
-    With(Box<dyn FnOnce(&mut Room) + Send>),
+    Execute(Box<dyn FnOnce(&mut EventLoop) + Send>),
 }
 
 /// What the loop holds.
-pub struct Room {
+pub struct EventLoop {
     entry: Entry,
     clock: Clock,
     metrics: Metrics,
@@ -119,9 +119,9 @@
     duties: Option<Duties>,
     peering: Peering,
     relay: Relay,
-    feed: Feed,
-    caller: Caller,
-    runs: HashMap<Run, run::Handle>,
+    feed: Followers,
+    caller: Client,
+    runs: HashMap<Run, client::Handle>,
     callers: HashMap<RequestId, Sender<Part>>,
     /// The callers' names of requests and sessions, for the log.
     labels: HashMap<RequestId, (String, String)>,
@@ -164,7 +164,7 @@
     pub events: Sender<Event>,
 }
 
-impl Room {
+impl EventLoop {
     /// Creates the loop's state.
     pub fn new(
         options: &options::Hosted,
@@ -174,7 +174,7 @@
         door: Arc<Door>,
         links: Links,
         clock: Clock,
-    ) -> Room {
+    ) -> EventLoop {
         let now = clock.now();
         let seed = u64::from_le_bytes(clock::random());
         let mut decisions = Decisions::new(
@@ -201,10 +201,10 @@
         decisions.counts = duties.is_some();
         let mut relay = Relay::new(own.clone(), bounds);
         if let Some(asked) = settings.duties.filter(|_| duties.is_some()) {
-            relay.count(Tally::new(shared.incarnation, asked.window));
+            relay.enable_usage(Tally::new(shared.incarnation, asked.window));
         }
         let starts = settings.first_start.then_some(ALL_ANNOUNCED);
-        Room {
+        EventLoop {
             entry: Entry::new(decisions),
             suspended: clock.suspended(),
             restored: None,
@@ -218,8 +218,8 @@
             peering: Peering::new(options.link_keys.clone(), settings, links.events),
             relay,
             duties,
-            feed: Feed::start(&store, &shared, &clock),
-            caller: Caller::new(shared.send.clone(), clock.clone()),
+            feed: Followers::start(&store, &shared, &clock),
+            caller: Client::new(shared.send.clone(), clock.clone()),
             clock,
             runs: HashMap::new(),
             callers: HashMap::new(),
@@ -248,7 +248,7 @@
     /// Runs the loop until the process is told to stop and has finished.
     pub async fn work(mut self, receive: Receiver<Message>, stop: Arc<AtomicBool>) {
         let mut stopping: Option<Time> = None;
-        let tick = |room: &mut Room| {
+        let tick = |room: &mut EventLoop| {
             let now = room.clock.now();
             if stop.load(Ordering::Relaxed) && stopping.is_none() {
                 stopping = Some(now);
@@ -266,7 +266,7 @@
                 false => Next::Go,
             }
         };
-        turn::run(&mut self, receive, Room::take, tick).await;
+        turn::run(&mut self, receive, EventLoop::take, tick).await;
         info!("event=ended in_flight={}", self.entry.in_flight());
         // What was answered last still goes out.
         task::sleep(Duration::from_millis(60)).await;
@@ -294,7 +294,7 @@
         self.handle(Input::Suspended);
         self.handle(Input::Tick);
         self.caller.forget();
-        self.relay.begin_anew(now);
+        self.relay.invalidate(now);
         for table in Table::ALL {
             self.feed.ask(table);
         }
@@ -357,7 +357,7 @@
         let leads = self.relay.follow().primary(now).is_none();
         let own = relay::own_epoch(&self.mirror, now);
         let store = self.mirror.store_time(now);
-        let Some(counted) = self.relay.counted() else {
+        let Some(counted) = self.relay.usage() else {
             return;
         };
         counted.agree(duties.duty().epoch_us());
@@ -388,7 +388,7 @@
     pub fn true_time(&mut self) -> Time {
         let now = self.clock.now();
         let store = self.mirror.store_time(now);
-        self.relay.counted().map_or(now, |c| c.time(now, store))
+        self.relay.usage().map_or(now, |c| c.time(now, store))
     }
 
     fn take(&mut self, message: Message) {
@@ -403,7 +403,7 @@
                 self.callers.insert(ask.request, parts);
                 self.handle(Input::Ask(ask));
             }
-            Message::Gone(request) => {
+            Message::Disconnected(request) => {
                 self.callers.remove(&request);
                 self.handle(Input::Gone(request));
             }
@@ -413,14 +413,14 @@
                 }
                 self.handle(Input::Reply(link, run, reply));
             }
-            Message::Store(table, Update::Page(Read { page, whole, asked })) => {
+            Message::Store(table, Outcome::Page(Read { page, whole, asked })) => {
                 let now = self.clock.now();
-                if self.mirror.hear(table, &page, whole, asked, now) == Heard::Late {
+                if self.mirror.observe_era(table, &page, whole, asked, now) == Heard::Late {
                     return;
                 }
                 self.note_restored("store");
                 // An answer may have lain here while the machine was suspended.
-                let told = self.mirror.own_time(page.now.as_micros() as u64);
+                let told = self.mirror.local_time(page.now.as_micros() as u64);
                 let heard = told
                     .filter(|_| !page.now.is_zero())
                     .map_or(now, |at| at.min(now));
@@ -432,24 +432,24 @@
                 if table == Table::Own && self.starts_until.is_none() {
                     self.relay.listed(now);
                 }
-                let orders = self.relay.hand_down(&mut self.mirror, now);
+                let orders = self.relay.publish(&mut self.mirror, now);
                 self.carry_out(orders);
             }
-            Message::Store(table, Update::Failed(trouble)) => {
+            Message::Store(table, Outcome::Failed(trouble)) => {
                 let now = self.clock.now();
                 if !self.mirror.is_failing(table) {
                     warn!("event=store-lost table={table:?} error={trouble}");
                 }
-                self.mirror.failed(table);
+                self.mirror.mark_failing(table);
                 // Without the list of entries this one is on its own.
                 self.starts_until = None;
                 self.relay.listed(now);
-                self.relay.missed(table);
+                self.relay.note_failure(table);
                 if table == Table::Operator {
                     self.failing_since.get_or_insert(now);
                 }
             }
-            Message::Store(table, Update::Forgotten(known)) => {
+            Message::Store(table, Outcome::Forgotten(known)) => {
                 let silent = self.answers.silence_ms(table, self.clock.now());
                 warn!("event=store-forgot table={table:?} known={known} silent_ms={silent}");
             }
@@ -463,15 +463,15 @@
                     self.take_frame(link, frame);
                 }
             }
-            Message::LinkUp(link, outbox) => self.peering.up(link, outbox),
-            Message::Opened(name, link, outbox) => self.opened(name, link, outbox),
-            Message::Moved(key, result) => self.mover.written(&key, result),
-            Message::WrittenAgain(result) => self.restorer.written(result),
-            Message::Recorded(fingerprint, result) => {
+            Message::LinkAccepted(link, outbox) => self.peering.add(link, outbox),
+            Message::LinkOpened(name, link, outbox) => self.opened(name, link, outbox),
+            Message::MoveRecorded(key, result) => self.mover.written(&key, result),
+            Message::RowsRestored(result) => self.restorer.written(result),
+            Message::HoldRecorded(fingerprint, result) => {
                 let now = self.clock.now();
                 self.recorder.written(fingerprint, result, now);
             }
-            Message::With(with) => with(self),
+            Message::Execute(with) => with(self),
         }
     }
 
@@ -479,7 +479,7 @@
         let now = self.clock.now();
         let link = match outbox {
             Ok(outbox) => {
-                self.peering.up(link, outbox);
+                self.peering.add(link, outbox);
                 Some(link)
             }
             Err(error) => {
@@ -497,7 +497,7 @@
         }
         let now = self.clock.now();
         let era = self.mirror.era();
-        let (news, orders) = self.relay.frame(link, frame, &mut self.mirror, now);
+        let (news, orders) = self.relay.handle_frame(link, frame, &mut self.mirror, now);
         let handed_on = !news.is_empty();
         // Most frames bring no news, so the name is not copied for them.
         let is_news = handed_on || self.mirror.era() != era;
@@ -508,7 +508,7 @@
         self.note_all(news, from);
         self.carry_out(orders);
         if handed_on {
-            let orders = self.relay.hand_down(&mut self.mirror, now);
+            let orders = self.relay.publish(&mut self.mirror, now);
             self.carry_out(orders);
         }
     }
@@ -540,25 +540,25 @@
             let age = follow.age(now).map_or(-1, |age| age.millis() as i64);
             info!(
                 "event=sources reading={reading:?} before={before:?} sources={sources:?} age_ms={age} takers={}",
-                self.relay.takers()
+                self.relay.subscribers()
             );
             self.sources = sources;
         }
     }
 
-    fn carry_out(&mut self, orders: Vec<Order>) {
+    fn carry_out(&mut self, orders: Vec<Command>) {
         for order in orders {
             match order {
-                Order::Open(name, address) => self.peering.open(name, address, &self.shared),
-                Order::Close(link) => self.peering.close(link),
-                Order::Send(link, frame) => self.peering.send(link, frame),
-                Order::Read(reading) => self.feed.read(reading),
-                Order::Ask(table) => self.ask_anew(table),
-                Order::Told(pool, hall, report) => self.handle(Input::Told(pool, hall, report)),
-                Order::Reads(number, reading) => self.handle(Input::Reads(number, reading)),
-                Order::Stays(stay) => self.handle(Input::Stays(stay)),
-                Order::Word(word) => self.handle(Input::Word(word)),
-                Order::Notice(word) => self.handle(Input::Notice(word)),
+                Command::Open(name, address) => self.peering.open(name, address, &self.shared),
+                Command::Close(link) => self.peering.close(link),
+                Command::Send(link, frame) => self.peering.send(link, frame),
+                Command::Read(reading) => self.feed.read(reading),
+                Command::Poll(table) => self.ask_anew(table),
+                Command::Report(pool, hall, report) => self.handle(Input::Told(pool, hall, report)),
+                Command::Prefill(number, reading) => self.handle(Input::Reads(number, reading)),
+                Command::Pin(stay) => self.handle(Input::Stays(stay)),
+                Command::Quarantine(word) => self.handle(Input::Word(word)),
+                Command::Notice(word) => self.handle(Input::Notice(word)),
             }
         }
     }
@@ -575,9 +575,9 @@
         if self.mirror.is_failing(table) {
             info!("event=store-regained table={table:?}");
         }
-        self.relay.reached(table, now);
+        self.relay.note_answer(table, now);
         // At the start any answer shows that the store is there, and the rest is on its way.
-        if table == Table::Operator || !self.mirror.is_informed() {
+        if table == Table::Operator || !self.mirror.has_operator_table() {
             self.failing_since = None;
         }
         if table == Table::Operator {
@@ -603,8 +603,8 @@
     }
 
     /// Takes in news; `from` says whom they are from, for the log.
-    fn note_all(&mut self, news: Vec<News>, from: &str) {
-        let has_entries = news.iter().any(|news| matches!(news, News::Entry(_)));
+    fn note_all(&mut self, news: Vec<Update>, from: &str) {
+        let has_entries = news.iter().any(|news| matches!(news, Update::Entry(_)));
         for news in news {
             self.note(news, from);
         }
@@ -613,13 +613,13 @@
             let entries = self.relay.follow().entries().cloned().collect();
             self.handle(Input::Entries(entries));
         }
-        for replaced in self.mirror.replaced() {
+        for replaced in self.mirror.take_replaced() {
             info!(
                 "event=table-restored table={:?} stamp={} before={} kept={:?} from={from}",
                 replaced.table, replaced.now, replaced.before, replaced.kept
             );
         }
-        for held in self.mirror.held() {
+        for held in self.mirror.take_suspects() {
             info!(
                 "event=held upstreams={:?} of={} for_ms={}",
                 held.keys,
@@ -627,7 +627,7 @@
                 held.span.millis()
             );
         }
-        for trouble in self.mirror.troubles() {
+        for trouble in self.mirror.take_malformed() {
             warn!(
                 "event=not-understood table={:?} key={:?} error={:?}",
                 trouble.table, trouble.key, trouble.message
@@ -638,13 +638,13 @@
     /// Takes in that the store came back from a copy: what is known holds until all tables are
     /// read whole, and no wait that is under way tells of what comes.
     fn note_restored(&mut self, from: &str) {
-        let Some(before) = self.mirror.restored() else {
+        let Some(before) = self.mirror.take_restored() else {
             return;
         };
         let now = self.clock.now();
         let era = self.mirror.era();
         warn!("event=store-era era={era} before={before} from={from}");
-        self.relay.begin_anew(now);
+        self.relay.invalidate(now);
         let is_news = self.restored.is_none_or(|at| now.since(at) >= RESTORED);
         for table in Table::ALL {
             self.feed.known(table, None);
@@ -659,7 +659,7 @@
 
     /// Tells which answers of the store were ignored.
     fn tell_of_ignored(&mut self) {
-        for ignored in self.mirror.ignored() {
+        for ignored in self.mirror.take_ignored() {
             self.metrics.ignored();
             warn!(
                 "event=page-ignored table={:?} version={} known={} era={}",
@@ -681,11 +681,11 @@
         format!("from={from} version={version} silent_ms={silent}")
     }
 
-    fn note(&mut self, news: News, from: &str) {
+    fn note(&mut self, news: Update, from: &str) {
         match news {
-            News::Config(config) => self.adopt(*config, from),
-            News::Joined(listed) => self.join(*listed, from),
-            News::Retired(upstream) => {
+            Update::Config(config) => self.adopt(*config, from),
+            Update::Joined(listed) => self.join(*listed, from),
+            Update::Retired(upstream) => {
                 let origin = self.origin(Table::Upstreams, from);
                 info!("event=retired upstream={upstream} {origin}");
                 if let Some(link) = self.upstreams.remove(&upstream) {
@@ -693,7 +693,7 @@
                     self.handle(Input::Retire(link));
                 }
             }
-            News::Move(order, state, began) => {
+            Update::Move(order, state, began) => {
                 let origin = self.origin(Table::Progress, from);
                 info!(
                     "event=move pool={} to={} number={} state={state:?} began={began:?} {origin}",
@@ -701,7 +701,7 @@
                 );
                 self.handle(Input::Move(order, state, began));
             }
-            News::Cold(upstream, left) => {
+            Update::Cold(upstream, left) => {
                 let origin = self.origin(Table::Upstreams, from);
                 info!(
                     "event=cold upstream={upstream} for_ms={} {origin}",
@@ -711,13 +711,13 @@
                     self.handle(Input::Cold(link, left));
                 }
             }
-            News::Evacuated(halls) => {
+            Update::Evacuated(halls) => {
                 let origin = self.origin(Table::Operator, from);
                 info!("event=evacuate halls={halls:?} {origin}");
                 self.handle(Input::Evacuate(halls));
             }
-            News::Held(fingerprint, record) => self.hold(fingerprint, record),
-            News::Entry(peer) => {
+            Update::Quarantine(fingerprint, record) => self.hold(fingerprint, record),
+            Update::Entry(peer) => {
                 self.peering.learn(peer.name.clone(), peer.address);
                 self.relay.learn(peer);
             }
@@ -730,7 +730,7 @@
             return self.handle(Input::Forgotten(fingerprint));
         };
         // Without the store's clock nothing was ever heard of it, and no record either.
-        if let Some(until) = self.mirror.own_time(record.until_us) {
+        if let Some(until) = self.mirror.local_time(record.until_us) {
             let hold = Hold {
                 until,
                 before: record.before,
@@ -793,7 +793,7 @@
             return;
         }
         self.announced = true;
-        let key = format!("{ENTRY}{}", self.own.name);
+        let key = format!("{ENTRY_PREFIX}{}", self.own.name);
         let known = self.mirror.row(Table::Own, &key);
         let text = serde_json::to_string(&self.own).expect("a peer is always JSON");
         if known.and_then(|row| row.value.as_deref()) == Some(text.as_bytes()) {
@@ -806,9 +806,9 @@
             if let Err(trouble) = store.change(&change).await {
                 warn!("event=announce-failed error={trouble}");
                 task::sleep(ASK_SELDOM.into()).await;
-                let again = |room: &mut Room| room.announced = false;
+                let again = |room: &mut EventLoop| room.announced = false;
                 // The loop ends only with the process.
-                let _ = send.send(Message::With(Box::new(again))).await;
+                let _ = send.send(Message::Execute(Box::new(again))).await;
             }
         });
     }
@@ -820,7 +820,7 @@
         }
         self.told = now;
         for (pool, report) in self.entry.move_reports() {
-            self.relay.found(pool, report);
+            self.relay.share_report(pool, report);
         }
     }
 
@@ -838,10 +838,10 @@
         info!(
             "event=state memory_kb={memory} peak_kb={peak} links={} takers={} rows={rows} upstreams={} explained={} counts={}",
             self.peering.links(),
-            self.relay.takers(),
+            self.relay.subscribers(),
             self.upstreams.len(),
             self.entry.history().len(),
-            self.relay.counted().map_or(0, |c| c.tally().kept()),
+            self.relay.usage().map_or(0, |c| c.tally().kept()),
         );
     }
 
@@ -879,13 +879,13 @@
             }
             Output::Send(_, Frame::Cancel(run)) => drop(self.runs.remove(&run)),
             Output::Answer(request, part) => self.answer(request, part),
-            Output::Reads(number, reading) => self.relay.sent(number, reading),
-            Output::Stays(stay) => self.relay.note_stay(stay, self.clock.now()),
-            Output::Word(word) => self.relay.note_word(word, self.clock.now()),
-            Output::Notice(word) => self.relay.note_notice(word),
+            Output::Reads(number, reading) => self.relay.share_prefill(number, reading),
+            Output::Stays(stay) => self.relay.share_pin(stay, self.clock.now()),
+            Output::Word(word) => self.relay.share_quarantine(word, self.clock.now()),
+            Output::Notice(word) => self.relay.share_notice(word),
             Output::Began(account) => {
                 let now = self.clock.now();
-                self.relay.began(&account, &self.mirror, now);
+                self.relay.count_request(&account, &self.mirror, now);
             }
             Output::Quarantine(news) => self.record(news),
             Output::Ended(done) => {
--- a/crates/daemon/src/hosted/feed.rs
+++ b/crates/daemon/src/hosted/followers.rs
@@ -5,7 +5,7 @@
 //! store is out of reach, and which version is its newest; the others wait long and begin
 //! anew when it was, or when a change that it named is told of by none of them.
 
-use super::room::Message;
+use super::event_loop::Message;
 use super::shared::Shared;
 use crate::clock::{self, Clock};
 use async_channel::{Receiver, Sender};
@@ -62,7 +62,7 @@
 }
 
 /// What a follower tells.
-pub enum Update {
+pub enum Outcome {
     /// Rows.
     Page(Read),
     /// The table could not be read.
@@ -74,9 +74,9 @@
 
 /// What the follower of a table is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Task {
+enum Mode {
     /// Nothing.
-    Rest = 0,
+    Idle = 0,
     /// Read the table once.
     Once = 1,
     /// Follow it.
@@ -87,7 +87,7 @@
 
 /// What the loop tells the follower of a table.
 #[derive(Debug, Default)]
-struct Wanted {
+struct Control {
     task: AtomicU8,
     /// What is known from wherever, if that is of the era of the store.
     known: Mutex<Option<Stamp>>,
@@ -96,13 +96,13 @@
     wait: AtomicU64,
 }
 
-impl Wanted {
-    fn task(&self) -> Task {
+impl Control {
+    fn task(&self) -> Mode {
         match self.task.load(Ordering::Relaxed) {
-            0 => Task::Rest,
-            1 => Task::Once,
-            2 => Task::Follow,
-            _ => Task::Probe,
+            0 => Mode::Idle,
+            1 => Mode::Once,
+            2 => Mode::Follow,
+            _ => Mode::Probe,
         }
     }
 
@@ -118,7 +118,7 @@
     /// Notes that the table was read; where it was to be read once, nothing more is to be
     /// done, unless the loop wants more already.
     fn done_once(&self) {
-        let (once, rest) = (Task::Once as u8, Task::Rest as u8);
+        let (once, rest) = (Mode::Once as u8, Mode::Idle as u8);
         let _ = self
             .task
             .compare_exchange(once, rest, Ordering::Relaxed, Ordering::Relaxed);
@@ -126,15 +126,15 @@
 }
 
 /// The followers of all tables.
-pub struct Feed {
-    wanted: Vec<Arc<Wanted>>,
+pub struct Followers {
+    wanted: Vec<Arc<Control>>,
     bells: Vec<Sender<()>>,
 }
 
-impl Feed {
+impl Followers {
     /// Starts the followers, which read nothing yet.
-    pub fn start(store: &Store, shared: &Shared, clock: &Clock) -> Feed {
-        let mut feed = Feed {
+    pub fn start(store: &Store, shared: &Shared, clock: &Clock) -> Followers {
+        let mut feed = Followers {
             wanted: Vec::new(),
             bells: Vec::new(),
         };
@@ -182,10 +182,10 @@
     pub fn read(&self, reading: Reading) {
         for (number, table) in Table::ALL.iter().enumerate() {
             let task = match (reading, table) {
-                (Reading::All, _) => Task::Follow,
-                (Reading::Operator, Table::Operator) => Task::Probe,
-                (Reading::Entries, Table::Own) => Task::Once,
-                _ => Task::Rest,
+                (Reading::All, _) => Mode::Follow,
+                (Reading::Operator, Table::Operator) => Mode::Probe,
+                (Reading::Entries, Table::Own) => Mode::Once,
+                _ => Mode::Idle,
             };
             let wanted = &self.wanted[number];
             if wanted.task.swap(task as u8, Ordering::Relaxed) != task as u8 {
@@ -255,7 +255,7 @@
     store: Store,
     shared: Shared,
     table: Table,
-    wanted: Arc<Wanted>,
+    wanted: Arc<Control>,
     clock: Clock,
     /// Up to which version the table was read here; `None` where it must be read whole.
     version: Option<Stamp>,
@@ -276,7 +276,7 @@
                 self.answered = false;
             }
             let turn = match self.wanted.task() {
-                Task::Rest => wait(&rung).await,
+                Mode::Idle => wait(&rung).await,
                 _ => {
                     let next = async { Turn::Read(self.next().await) };
                     next.or(wait(&rung)).await
@@ -313,10 +313,10 @@
     /// Returns how long to wait after a failure.
     fn pause(&self) -> Duration {
         match (self.table, self.wanted.task()) {
-            (Table::Operator, Task::Probe) => pause_of_probe(),
+            (Table::Operator, Mode::Probe) => pause_of_probe(),
             (Table::Operator, _) => pause_after(self.failures),
             // The list of entries is needed to begin.
-            (_, Task::Once) => PAUSE_FIRST,
+            (_, Mode::Once) => PAUSE_FIRST,
             _ => PAUSE_OTHERS,
         }
     }
@@ -351,7 +351,7 @@
         let wait = self.wait();
         let first = self.call(wait);
         match (self.table, self.wanted.task()) {
-            (Table::Operator, Task::Follow) => first.or(self.ask_besides(wait)).await,
+            (Table::Operator, Mode::Follow) => first.or(self.ask_besides(wait)).await,
             _ => first.await,
         }
     }
@@ -408,21 +408,21 @@
                     self.failures = 0;
                     bells.iter().for_each(ring);
                 }
-                Update::Page(read)
+                Outcome::Page(read)
             }
             Err(Trouble::Forgotten) => {
                 let known = self.base().unwrap_or_default();
                 self.version = None;
                 let pause = pause_after(self.forgotten);
                 self.forgotten = self.forgotten.saturating_add(1);
-                let message = Message::Store(self.table, Update::Forgotten(known));
+                let message = Message::Store(self.table, Outcome::Forgotten(known));
                 self.shared.send.send(message).await.ok()?;
                 return Some(pause);
             }
             Err(trouble) => {
                 self.failures += 1;
                 self.answered = false;
-                Update::Failed(trouble)
+                Outcome::Failed(trouble)
             }
         };
         let message = Message::Store(self.table, told);
--- a/crates/daemon/src/hosted/door.rs
+++ b/crates/daemon/src/hosted/frontend.rs
@@ -1,6 +1,6 @@
 //! Takes callers' requests in and gives them their answers.
 
-use super::room::Message;
+use super::event_loop::Message;
 use super::shared::Shared;
 use async_channel::{Receiver, Sender};
 use async_std::net::{TcpListener, TcpStream};
@@ -70,7 +70,7 @@
     fn drop(&mut self) {
         if !self.done {
             // The loop ends only with the process.
-            let _ = self.send.try_send(Message::Gone(self.request));
+            let _ = self.send.try_send(Message::Disconnected(self.request));
         }
     }
 }
@@ -83,7 +83,7 @@
 
 impl Reserve {
     fn grow(&mut self, bytes: usize) -> bool {
-        let fits = self.shared.set_aside(bytes);
+        let fits = self.shared.reserve(bytes);
         if fits {
             self.bytes += bytes;
         }
@@ -93,7 +93,7 @@
 
 impl Drop for Reserve {
     fn drop(&mut self) {
-        self.shared.give_back(self.bytes);
+        self.shared.release(self.bytes);
     }
 }
 
--- a/crates/daemon/src/hosted/hints.rs
+++ b/crates/daemon/src/hosted/hints.rs
@@ -2,7 +2,7 @@
 //! long prompts that they sent, the sessions that stay at their release, the requests under
 //! which upstreams crashed, and what upstreams said of themselves.
 
-use super::relay::Order;
+use super::relay::Command;
 use sorreldeck::notice;
 use sorreldeck::quarantine::Word;
 use sorreldeck::release::Stay;
@@ -68,15 +68,15 @@
     }
 
     /// Returns what the decisions of this entry are to take in.
-    pub fn orders(&self) -> Vec<Order> {
+    pub fn orders(&self) -> Vec<Command> {
         let reads = |(number, ms): &(u64, u32)| {
             let reading = Span::from_millis(u64::from(*ms));
-            Order::Reads(*number, reading)
+            Command::Prefill(*number, reading)
         };
         let prompts = self.prompts.iter().map(reads);
-        let stays = self.stays.iter().cloned().map(Order::Stays);
-        let words = self.words.iter().map(|(word, _)| Order::Word(word.clone()));
-        let notices = self.notices.iter().copied().map(Order::Notice);
+        let stays = self.stays.iter().cloned().map(Command::Pin);
+        let words = self.words.iter().map(|(word, _)| Command::Quarantine(word.clone()));
+        let notices = self.notices.iter().copied().map(Command::Notice);
         prompts.chain(stays).chain(words).chain(notices).collect()
     }
 }
--- a/crates/daemon/src/hosted/holds.rs
+++ b/crates/daemon/src/hosted/holds.rs
@@ -6,7 +6,7 @@
 
 use super::mirror::Mirror;
 use super::mover;
-use super::room::Message;
+use super::event_loop::Message;
 use async_channel::Sender;
 use log::{info, warn};
 use serde::{Deserialize, Serialize};
@@ -17,7 +17,7 @@
 use std::collections::BTreeMap;
 
 /// The beginning of the keys of rows that hold these records.
-pub const HELD: &str = "held/";
+pub const HELD_PREFIX: &str = "held/";
 /// How long an entry waits after a write that failed.
 const AGAIN: Span = Span::from_millis(1_000);
 /// How long after its end a record is kept, so that a request that is back then is known.
@@ -40,7 +40,7 @@
 
 /// What is to be recorded of a request.
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
+struct Pending {
     /// `None` where the record is to go.
     hold: Option<Hold>,
     due: Time,
@@ -52,7 +52,7 @@
 pub struct Recorder {
     own: InstanceId,
     offset: Span,
-    wanted: BTreeMap<Fingerprint, Wanted>,
+    wanted: BTreeMap<Fingerprint, Pending>,
 }
 
 impl Recorder {
@@ -60,7 +60,7 @@
     pub fn new(instance: &InstanceId) -> Recorder {
         Recorder {
             own: instance.clone(),
-            offset: mover::offset(instance),
+            offset: mover::jitter(instance),
             wanted: BTreeMap::new(),
         }
     }
@@ -71,7 +71,7 @@
             Some(_) => now + self.offset,
             None => now,
         };
-        let wanted = Wanted {
+        let wanted = Pending {
             hold,
             due,
             writing: false,
@@ -82,7 +82,7 @@
     /// Takes in what came of a write.
     pub fn written(&mut self, fingerprint: Fingerprint, result: Result<(), String>, now: Time) {
         if let Err(trouble) = &result {
-            warn!("event=record-failed key={HELD}{fingerprint} error={trouble}");
+            warn!("event=record-failed key={HELD_PREFIX}{fingerprint} error={trouble}");
         }
         if let Some(wanted) = self.wanted.get_mut(&fingerprint) {
             wanted.writing = false;
@@ -106,11 +106,11 @@
             };
             wanted.writing = true;
             info!(
-                "event=record key={HELD}{fingerprint} held={}",
+                "event=record key={HELD_PREFIX}{fingerprint} held={}",
                 wanted.hold.is_some()
             );
             let fingerprint = *fingerprint;
-            let message = move |result| Message::Recorded(fingerprint, result);
+            let message = move |result| Message::HoldRecorded(fingerprint, result);
             mover::write(change, store, tell, message);
         }
     }
@@ -129,7 +129,7 @@
 }
 
 fn record_of(fingerprint: Fingerprint, mirror: &Mirror) -> Option<Record> {
-    let row = mirror.row(Table::Own, &format!("{HELD}{fingerprint}"))?;
+    let row = mirror.row(Table::Own, &format!("{HELD_PREFIX}{fingerprint}"))?;
     decode(row.value.as_deref()?).ok()
 }
 
@@ -151,13 +151,13 @@
     now: Time,
     mirror: &Mirror,
 ) -> Option<Change> {
-    let key = format!("{HELD}{fingerprint}");
+    let key = format!("{HELD_PREFIX}{fingerprint}");
     let version = mirror.row_version(Table::Own, &key);
     let change = Change::default().expect(Table::Own, &key, version);
     let Some(hold) = hold else {
         return Some(change.remove(Table::Own, &key));
     };
-    let held = mirror.rows(Table::Own).filter(|r| r.key.starts_with(HELD));
+    let held = mirror.rows(Table::Own).filter(|r| r.key.starts_with(HELD_PREFIX));
     if version == 0 && held.count() >= MOST {
         return None;
     }
@@ -174,9 +174,9 @@
 
 /// Returns the keys of records that ended long ago, or cannot be read.
 fn ended(now: Time, mirror: &Mirror) -> Vec<String> {
-    let rows = mirror.rows(Table::Own).filter(|r| r.key.starts_with(HELD));
+    let rows = mirror.rows(Table::Own).filter(|r| r.key.starts_with(HELD_PREFIX));
     let is_over = |value: &[u8]| {
-        let until = decode(value).ok().and_then(|r| mirror.own_time(r.until_us));
+        let until = decode(value).ok().and_then(|r| mirror.local_time(r.until_us));
         until.is_none_or(|until| now >= until + KEPT)
     };
     let over = rows.filter(|row| row.value.as_deref().is_none_or(is_over));
--- a/crates/daemon/src/hosted/mirror/mod.rs
+++ b/crates/daemon/src/hosted/mirror/mod.rs
@@ -7,14 +7,14 @@
 mod moves;
 mod upstreams;
 
-pub use moves::Again;
+pub use moves::Rewrite;
 
 use self::moves::Written;
 use self::upstreams::Start;
 use super::holds::{self, Record};
 use super::pack;
-use super::replica::{Case, Kept, Replica, Rows, Share};
-use super::rules;
+use super::replica::{Conflict, Kept, Replica, Rows, Delta};
+use super::reconcile;
 use sorreldeck::era::{Era, Eras, Heard, Stamp};
 use sorreldeck::follow::{Peer, Watermark};
 use sorreldeck::quarantine::Fingerprint;
@@ -29,13 +29,13 @@
 use std::time::Duration;
 
 /// The beginning of the keys of rows in which entries tell where they are.
-pub const ENTRY: &str = "entry/";
+pub const ENTRY_PREFIX: &str = "entry/";
 /// The longest time between two answers of the store that is not away: a wait takes up to 1.4 s.
 const HEARD: Span = Span::from_millis(1_500);
 
 /// What a change of the tables means.
 #[derive(Debug)]
-pub enum News {
+pub enum Update {
     /// A newer configuration.
     Config(Box<Configuration>),
     /// An upstream can be called.
@@ -51,12 +51,12 @@
     /// An entry that can be asked, and has announced itself.
     Entry(Peer),
     /// What is recorded of a request that is held back, or that nothing is any more.
-    Held(Fingerprint, Option<Record>),
+    Quarantine(Fingerprint, Option<Record>),
 }
 
 /// What cannot be understood, for the log.
 #[derive(Clone, Debug)]
-pub struct Trouble {
+pub struct Malformed {
     /// The table.
     pub table: Table,
     /// The key of the row.
@@ -68,7 +68,7 @@
 /// Upstreams whose rows vanished and that are kept, since their leases may have lapsed; for
 /// the log.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct Suspects {
     /// Their keys.
     pub keys: Vec<String>,
     /// How many upstreams were listed before.
@@ -106,13 +106,13 @@
 
 /// What became of changes that another entry handed on.
 #[derive(Debug)]
-pub enum Taken {
+pub enum Merge {
     /// They were known.
-    Old,
+    Stale,
     /// Changes before them are missing.
     Gap,
     /// They were taken in.
-    News(Vec<News>),
+    Applied(Vec<Update>),
 }
 
 /// What this process knows of the tables.
@@ -131,8 +131,8 @@
     ticked: Time,
     /// How far this process's clock is ahead of the store's, in microseconds.
     ahead: Option<i64>,
-    troubles: Vec<Trouble>,
-    held: Vec<Held>,
+    troubles: Vec<Malformed>,
+    held: Vec<Suspects>,
     ignored: Vec<Ignored>,
     replaced: Vec<Replaced>,
     eras: Eras,
@@ -194,7 +194,7 @@
     }
 
     /// Returns whether anything is known of what the operator wants.
-    pub fn is_informed(&self) -> bool {
+    pub fn has_operator_table(&self) -> bool {
         self.version(Table::Operator) > 0
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Returns the rows of a table in the store.
-    pub fn stored(&self, table: Table) -> impl Iterator<Item = &Row> {
+    pub fn stored_rows(&self, table: Table) -> impl Iterator<Item = &Row> {
         let replica = self.tables.get(&table);
         replica.into_iter().flat_map(Replica::stored)
     }
@@ -228,28 +228,28 @@
     }
 
     /// Returns what could not be understood since the last call.
-    pub fn troubles(&mut self) -> Vec<Trouble> {
+    pub fn take_malformed(&mut self) -> Vec<Malformed> {
         std::mem::take(&mut self.troubles)
     }
 
     /// Returns which upstreams are held though their rows vanished, since the last call.
-    pub fn held(&mut self) -> Vec<Held> {
+    pub fn take_suspects(&mut self) -> Vec<Suspects> {
         std::mem::take(&mut self.held)
     }
 
     /// Returns the pages that were ignored since the last call.
-    pub fn ignored(&mut self) -> Vec<Ignored> {
+    pub fn take_ignored(&mut self) -> Vec<Ignored> {
         std::mem::take(&mut self.ignored)
     }
 
     /// Returns the tables that were read whole after the store came back from a copy, since the
     /// last call.
-    pub fn replaced(&mut self) -> Vec<Replaced> {
+    pub fn take_replaced(&mut self) -> Vec<Replaced> {
         std::mem::take(&mut self.replaced)
     }
 
     /// Returns the era before the store came back from a copy, if it did since the last call.
-    pub fn restored(&mut self) -> Option<Era> {
+    pub fn take_restored(&mut self) -> Option<Era> {
         self.restored.take()
     }
 
@@ -260,7 +260,7 @@
 
     /// Takes in of which era a page is that the store gave in answer to a call begun at `asked`. After
     /// a [restore](Heard::Restored) nothing but whole tables may be [applied](Mirror::apply).
-    pub fn hear(
+    pub fn observe_era(
         &mut self,
         table: Table,
         page: &Page,
@@ -297,13 +297,13 @@
     }
 
     /// Returns a time on the store's clock as one on this process's clock, if one was heard.
-    pub fn own_time(&self, micros: u64) -> Option<Time> {
+    pub fn local_time(&self, micros: u64) -> Option<Time> {
         let ahead = self.ahead?;
         Some(Time((micros as i64 + ahead).max(0) as u64))
     }
 
     /// Notes that a table could not be read.
-    pub fn failed(&mut self, table: Table) {
+    pub fn mark_failing(&mut self, table: Table) {
         self.tables.entry(table).or_default().failing = true;
     }
 
@@ -313,7 +313,7 @@
     }
 
     /// Takes in a page of the store; `whole` says that rows which are not in it are gone.
-    pub fn apply(&mut self, table: Table, page: Page, whole: bool, now: Time) -> Vec<News> {
+    pub fn apply(&mut self, table: Table, page: Page, whole: bool, now: Time) -> Vec<Update> {
         if !page.now.is_zero() {
             self.note_clock(page.now.as_micros() as u64, now);
         }
@@ -344,15 +344,15 @@
         whole: bool,
         kept: Vec<Kept>,
         now: Time,
-    ) -> Vec<News> {
+    ) -> Vec<Update> {
         let era = self.era();
         let copy = self.tables.entry(table).or_default();
         let before = copy.stamp;
         let changes = page.rows.iter().map(|row| row.version);
         self.watermark.known(table as usize, page.version, changes);
-        let fate = |case: &Case<'_>| rules::fate(table, case);
-        let mut changed = copy.take(page, era, whole, fate);
-        changed.extend(copy.keep(kept));
+        let fate = |case: &Conflict<'_>| reconcile::fate(table, case);
+        let mut changed = copy.apply(page, era, whole, fate);
+        changed.extend(copy.merge_kept(kept));
         if before.era != era {
             self.ticked = self.ticked.max(now);
         }
@@ -369,7 +369,7 @@
     }
 
     /// Returns what it means that rows changed.
-    fn news(&mut self, table: Table, changed: &[String], now: Time) -> Vec<News> {
+    fn news(&mut self, table: Table, changed: &[String], now: Time) -> Vec<Update> {
         match table {
             Table::Operator | Table::Progress => self.operator_news(table, changed),
             Table::Own => self.own_news(changed),
@@ -385,7 +385,7 @@
         page: Page,
         kept: Vec<Kept>,
         now: Time,
-    ) -> Vec<News> {
+    ) -> Vec<Update> {
         let stamp = Stamp::new(page.era.unwrap_or_default(), page.version);
         if !self.is_news(table, stamp, now) {
             return Vec::new();
@@ -408,7 +408,7 @@
             true => have.version,
             false => 0,
         };
-        let Share { since, rows } = copy.share(have);
+        let Delta { since, rows } = copy.delta(have);
         let (rows, packed) = match rows {
             Rows::Plain(rows) => (rows, None),
             Rows::Packed(bytes) => (Vec::new(), Some(bytes)),
@@ -433,28 +433,28 @@
     }
 
     /// Takes in changes that another entry hands on.
-    pub fn take(&mut self, delta: TableDelta, now: Time) -> Taken {
+    pub fn apply_delta(&mut self, delta: TableDelta, now: Time) -> Merge {
         let Some(table) = Table::ALL.get(delta.number).copied() else {
-            return Taken::Old;
+            return Merge::Stale;
         };
         let stamp = Stamp::new(delta.era, delta.version);
         if !self.is_news(table, stamp, now) {
-            return Taken::Old;
+            return Merge::Stale;
         }
         let since = delta.since.map(|since| Stamp::new(stamp.era, since));
         if since.is_some_and(|since| since > self.stamp(table)) {
-            return Taken::Gap;
+            return Merge::Gap;
         }
         let unpacked = delta.packed.map(|packed| pack::unpack(&packed));
         let rows = match unpacked.unwrap_or(Ok(delta.rows)) {
             Ok(rows) => rows,
             Err(message) => {
-                self.troubles.push(Trouble {
+                self.troubles.push(Malformed {
                     table,
                     key: "a packed table".to_owned(),
                     message,
                 });
-                return Taken::Gap;
+                return Merge::Gap;
             }
         };
         let page = Page {
@@ -465,7 +465,7 @@
         };
         let whole = delta.since.is_none();
         let kept = delta.kept.into_iter().map(pack::kept);
-        Taken::News(self.put(table, page, whole, kept.collect(), now))
+        Merge::Applied(self.put(table, page, whole, kept.collect(), now))
     }
 
     /// Takes in the time on the store's clock as another entry tells it.
@@ -479,10 +479,10 @@
     ///
     /// `heard` is when the store was heard last, by whatever way: what holds for a while though
     /// the store has lost it holds while nobody can write it again.
-    pub fn tick(&mut self, now: Time, heard: Option<Time>) -> Vec<News> {
+    pub fn tick(&mut self, now: Time, heard: Option<Time>) -> Vec<Update> {
         let due = self.missing.iter().filter(|(_, at)| now >= **at);
         let due: Vec<String> = due.map(|(id, _)| id.clone()).collect();
-        let mut news: Vec<News> = due.iter().filter_map(|id| self.retire(id)).collect();
+        let mut news: Vec<Update> = due.iter().filter_map(|id| self.retire(id)).collect();
         let is_heard = heard.is_some_and(|at| now.since(at) <= HEARD);
         let passed = match is_heard {
             true => now.since(self.ticked),
@@ -508,7 +508,7 @@
             Ok(value) => return Some(value),
             Err(e) => e.to_string(),
         };
-        self.troubles.push(Trouble {
+        self.troubles.push(Malformed {
             table,
             key: key.to_owned(),
             message,
@@ -516,14 +516,14 @@
         None
     }
 
-    fn operator_news(&mut self, table: Table, changed: &[String]) -> Vec<News> {
+    fn operator_news(&mut self, table: Table, changed: &[String]) -> Vec<Update> {
         let mut news = Vec::new();
         for key in changed {
             if table == Table::Operator && key == CONFIG {
                 let row = self.row(table, key).and_then(|row| row.value.clone());
                 let read = row.map(|buf| config::decode(&buf));
                 let config = read.and_then(|read| self.understand(table, key, read));
-                news.extend(config.map(|c| News::Config(Box::new(c))));
+                news.extend(config.map(|c| Update::Config(Box::new(c))));
             }
             if key.starts_with(MOVE) {
                 news.extend(self.move_news(key));
@@ -531,7 +531,7 @@
         }
         let orders = |key: &String| table == Table::Operator && hall::of_key(key).is_some();
         if changed.iter().any(orders) {
-            news.push(News::Evacuated(self.evacuated()));
+            news.push(Update::Evacuated(self.evacuated()));
         }
         news
     }
@@ -547,7 +547,7 @@
         halls.collect()
     }
 
-    fn own_news(&mut self, changed: &[String]) -> Vec<News> {
+    fn own_news(&mut self, changed: &[String]) -> Vec<Update> {
         let mut news = Vec::new();
         for key in changed {
             if key.starts_with(MOVE) {
@@ -559,24 +559,24 @@
         news
     }
 
-    fn entry_news(&mut self, key: &str) -> Option<News> {
-        key.strip_prefix(ENTRY)?;
+    fn entry_news(&mut self, key: &str) -> Option<Update> {
+        key.strip_prefix(ENTRY_PREFIX)?;
         let value = self.row(Table::Own, key)?.value.clone()?;
         let read = serde_json::from_slice(&value).map_err(|e| {
             let message = format!("an entry: {e}");
             sorreldeck::Error::new(sorreldeck::Category::Invalid, message)
         });
-        self.understand(Table::Own, key, read).map(News::Entry)
+        self.understand(Table::Own, key, read).map(Update::Entry)
     }
 
-    fn held_news(&mut self, key: &str) -> Option<News> {
-        let fingerprint = key.strip_prefix(holds::HELD)?.parse();
+    fn held_news(&mut self, key: &str) -> Option<Update> {
+        let fingerprint = key.strip_prefix(holds::HELD_PREFIX)?.parse();
         let fingerprint = self.understand(Table::Own, key, fingerprint)?;
         let row = self.row(Table::Own, key);
         let Some(value) = row.and_then(|row| row.value.clone()) else {
-            return Some(News::Held(fingerprint, None));
+            return Some(Update::Quarantine(fingerprint, None));
         };
         let record = self.understand(Table::Own, key, holds::decode(&value))?;
-        Some(News::Held(fingerprint, Some(record)))
+        Some(Update::Quarantine(fingerprint, Some(record)))
     }
 }
--- a/crates/daemon/src/hosted/mirror/moves.rs
+++ b/crates/daemon/src/hosted/mirror/moves.rs
@@ -1,7 +1,7 @@
 //! What three tables tell of moves to other releases, and what is to be written again of what
 //! entries recorded.
 
-use super::{Mirror, News, ENTRY};
+use super::{Mirror, Update, ENTRY_PREFIX};
 use sorreldeck::era::Stamp;
 use sorreldeck::release::State;
 use sorreldeck::{Time, VersionId};
@@ -10,7 +10,7 @@
 
 /// A row that is to be written again, since the store has lost it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Again {
+pub struct Rewrite {
     /// The table.
     pub table: Table,
     /// The key.
@@ -33,7 +33,7 @@
 
 impl Mirror {
     /// Puts together what three tables tell of a move.
-    pub(super) fn move_news(&mut self, key: &str) -> Option<News> {
+    pub(super) fn move_news(&mut self, key: &str) -> Option<Update> {
         let value = self.row(Table::Operator, key)?.value.clone()?;
         let number = self.number_of(key, &value)?;
         let read = release::decode(&value, number);
@@ -47,7 +47,7 @@
         });
         let state = state.filter(|(to, _)| *to == read.to).map(|(_, s)| s);
         let began = state.and_then(|_| self.began(key));
-        Some(News::Move(read, state, began))
+        Some(Update::Move(read, state, began))
     }
 
     /// Returns when an order was first written. One that is written again after the store lost it, or
@@ -78,16 +78,16 @@
 
     /// Returns the rows of entries that the store has lost and that are to be written again; `own`
     /// is the key under which this entry tells where it is.
-    pub fn lost(&self, own: &str, now: Time) -> Vec<Again> {
+    pub fn lost_rows(&self, own: &str, now: Time) -> Vec<Rewrite> {
         let tables = [Table::Progress, Table::Own];
         let kept = tables.into_iter().flat_map(|table| {
             let kept = self.kept(table).filter(|kept| kept.left.is_none());
             kept.map(move |kept| (table, &kept.row))
         });
-        let is_ours = |row: &Row| !row.key.starts_with(ENTRY) || row.key == own;
+        let is_ours = |row: &Row| !row.key.starts_with(ENTRY_PREFIX) || row.key == own;
         let kept = kept.filter(move |(_, row)| is_ours(row));
         let behind = self.behind_order().map(|row| (Table::Progress, row));
-        let lost = kept.chain(behind).map(|(table, row)| Again {
+        let lost = kept.chain(behind).map(|(table, row)| Rewrite {
             table,
             key: row.key.clone(),
             value: row.value.clone(),
@@ -98,17 +98,17 @@
 
     /// Returns the beginnings of moves that nobody knows though they are recorded: the store lost
     /// them before they were heard of. Such a move begins now.
-    fn unbegun(&self, now: Time) -> Vec<Again> {
+    fn unbegun(&self, now: Time) -> Vec<Rewrite> {
         if !self.was_restored {
             return Vec::new();
         }
         let is_unbegun = |key: &&String| {
-            let state = self.recorded(key).map(|(_, state)| state);
+            let state = self.recorded_state(key).map(|(_, state)| state);
             state == Some(State::Running) && self.row(Table::Own, key).is_none()
         };
         let again = |key: &String| {
             let time = self.store_time(now)?.to_string();
-            Some(Again {
+            Some(Rewrite {
                 table: Table::Own,
                 key: key.clone(),
                 value: Some(time.into_bytes()),
@@ -120,7 +120,7 @@
     }
 
     /// Returns what is recorded under the key of an order, of whichever order that was.
-    pub fn recorded(&self, key: &str) -> Option<(VersionId, State)> {
+    pub fn recorded_state(&self, key: &str) -> Option<(VersionId, State)> {
         let row = self.row(Table::Progress, key)?;
         release::decode_state(row.value.as_deref()?).ok()
     }
@@ -145,6 +145,6 @@
     pub(super) fn began(&self, key: &str) -> Option<Time> {
         let row = self.row(Table::Own, key)?.value.as_deref()?;
         let micros: u64 = std::str::from_utf8(row).ok()?.parse().ok()?;
-        self.own_time(micros)
+        self.local_time(micros)
     }
 }
--- a/crates/daemon/src/hosted/mirror/upstreams.rs
+++ b/crates/daemon/src/hosted/mirror/upstreams.rs
@@ -1,6 +1,6 @@
 //! What rows of upstreams mean: which may get requests, and which have left.
 
-use super::{Held, Mirror, News};
+use super::{Suspects, Mirror, Update};
 use sorreldeck::{Incarnation, Span, Time};
 use sorreldeck_platform::member::{self, Listed};
 use sorreldeck_platform::Table;
@@ -28,7 +28,7 @@
 }
 
 impl Mirror {
-    pub(super) fn upstream_news(&mut self, changed: &[String], now: Time) -> Vec<News> {
+    pub(super) fn upstream_news(&mut self, changed: &[String], now: Time) -> Vec<Update> {
         let mut news = self.gone_news(changed, now);
         for id in changed {
             let row = self.row(Table::Upstreams, id).cloned();
@@ -46,7 +46,7 @@
     }
 
     /// Returns what it means that rows of upstreams are gone.
-    pub(super) fn gone_news(&mut self, changed: &[String], now: Time) -> Vec<News> {
+    pub(super) fn gone_news(&mut self, changed: &[String], now: Time) -> Vec<Update> {
         // Rows of upstreams that were left before go at any time, many in one page.
         let is_gone = |id: &&String| {
             self.listed.contains_key(*id) && self.row(Table::Upstreams, id).is_none()
@@ -58,7 +58,7 @@
         for id in &gone {
             self.missing.entry(id.clone()).or_insert(now + COMES_BACK);
         }
-        self.held.push(Held {
+        self.held.push(Suspects {
             keys: gone,
             listed: self.listed.len(),
             span: COMES_BACK,
@@ -90,7 +90,7 @@
     /// Takes in the row of an upstream. A newer start under the same name is another upstream: it
     /// knows nothing of before, and runs and connections begun before are the former one's.
     /// An older one that is heard of late changes nothing.
-    pub(super) fn list(&mut self, id: &str, listed: Listed) -> Vec<News> {
+    pub(super) fn list(&mut self, id: &str, listed: Listed) -> Vec<Update> {
         let latest = self.born.get(id).copied();
         let born = listed.member.place.start.or(latest);
         if born < latest {
@@ -106,21 +106,21 @@
         if listed.leaving {
             return self.retire(id).into_iter().collect();
         }
-        let cold = News::Cold(listed.member.upstream.clone(), listed.cold);
+        let cold = Update::Cold(listed.member.upstream.clone(), listed.cold);
         let cold = (listed.cold > Span::default()).then_some(cold);
         if known == Some(start) {
             return cold.into_iter().collect();
         }
-        let mut news: Vec<News> = self.retire(id).into_iter().collect();
+        let mut news: Vec<Update> = self.retire(id).into_iter().collect();
         self.listed.insert(id.to_owned(), start);
-        news.push(News::Joined(Box::new(listed)));
+        news.push(Update::Joined(Box::new(listed)));
         news.extend(cold);
         news
     }
 
-    pub(super) fn retire(&mut self, id: &str) -> Option<News> {
+    pub(super) fn retire(&mut self, id: &str) -> Option<Update> {
         self.missing.remove(id);
         self.listed.remove(id)?;
-        Some(News::Retired(id.parse().ok()?))
+        Some(Update::Retired(id.parse().ok()?))
     }
 }
--- a/crates/daemon/src/hosted/mod.rs
+++ b/crates/daemon/src/hosted/mod.rs
@@ -7,11 +7,11 @@
 //! are asked when the store is out of reach. One loop holds the state.
 
 mod answers;
-mod counted;
-mod door;
+mod usage;
+mod frontend;
 mod duties;
-mod feed;
-mod found;
+mod followers;
+mod reports;
 mod hints;
 mod holds;
 mod log;
@@ -22,17 +22,17 @@
 mod relay;
 mod replica;
 mod restorer;
-mod room;
-mod rules;
-mod run;
+mod event_loop;
+mod reconcile;
+mod client;
 mod shared;
 mod web;
 
 pub use holds::Record;
 pub use log::start as start_log;
-pub use mirror::{Again, Held, Ignored, Mirror, News, Replaced, Taken, Trouble};
-pub use relay::{Order, Relay};
-pub use room::{Links, Message, Room};
+pub use mirror::{Rewrite, Suspects, Ignored, Mirror, Update, Replaced, Merge, Malformed};
+pub use relay::{Command, Relay};
+pub use event_loop::{Links, Message, EventLoop};
 pub use shared::Shared;
 
 use crate::clock::{self, Clock};
@@ -130,7 +130,7 @@
     let shared = Shared::new(send, incarnation, &settings);
     let door = Arc::new(Door::default());
     let store = Store::new(settings.store);
-    task::spawn(door::listen(callers, shared.clone(), door.clone()));
+    task::spawn(frontend::listen(callers, shared.clone(), door.clone()));
     task::spawn(http::serve(ready, web::health(shared.clone())));
     if let Some(port) = options.metrics {
         let metrics = TcpListener::bind((settings.ip, port)).await?;
@@ -149,7 +149,7 @@
         address: links_at,
         events,
     };
-    let room = Room::new(&options, &settings, shared, store, door, links, clock);
+    let room = EventLoop::new(&options, &settings, shared, store, door, links, clock);
     let flag = stop.clone();
     task::spawn(async move {
         room.work(receive, flag).await;
--- a/crates/daemon/src/hosted/mover.rs
+++ b/crates/daemon/src/hosted/mover.rs
@@ -5,7 +5,7 @@
 //! mostly one tries.
 
 use super::mirror::Mirror;
-use super::room::Message;
+use super::event_loop::Message;
 use async_channel::Sender;
 use async_std::task;
 use log::{info, warn};
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Mover {
     offset: Span,
-    wanted: HashMap<String, Wanted>,
+    wanted: HashMap<String, Pending>,
 }
 
 /// What ought to be recorded.
@@ -48,7 +48,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
+struct Pending {
     state: State,
     due: Time,
     writing: bool,
@@ -58,7 +58,7 @@
     /// Creates the writer of an instance.
     pub fn new(instance: &InstanceId) -> Mover {
         Mover {
-            offset: offset(instance),
+            offset: jitter(instance),
             wanted: HashMap::new(),
         }
     }
@@ -77,7 +77,7 @@
             return;
         };
         let behind = behind(proposal.reads);
-        let recorded = mirror.recorded(&key);
+        let recorded = mirror.recorded_state(&key);
         let names_release = recorded.is_some_and(|(to, _)| to == order.to);
         // A release that is bad must be stopped at once everywhere.
         let wait = match state {
@@ -85,7 +85,7 @@
             State::Running if names_release => self.offset + behind + RECORDED,
             _ => self.offset + behind,
         };
-        let fresh = Wanted {
+        let fresh = Pending {
             state,
             due: now + wait,
             writing: false,
@@ -109,7 +109,7 @@
             mirror.row_version(Table::Progress, &key),
             proposal.grounds
         );
-        write(change, store, tell, |result| Message::Moved(key, result));
+        write(change, store, tell, |result| Message::MoveRecorded(key, result));
     }
 
     /// Takes in what came of a write; the row itself comes with the feed.
@@ -148,7 +148,7 @@
 }
 
 /// Returns how long an instance waits before it writes what others may write as well.
-pub fn offset(instance: &InstanceId) -> Span {
+pub fn jitter(instance: &InstanceId) -> Span {
     let hash = sorreldeck::tree::hash_key(instance.as_str());
     let number = u64::from_str_radix(&hash[..8], 16).unwrap_or(0);
     Span::from_micros(number * SPREAD.micros() / u64::from(u32::MAX))
--- a/crates/daemon/src/hosted/pack.rs
+++ b/crates/daemon/src/hosted/pack.rs
@@ -14,7 +14,7 @@
 use std::io::{Read, Write};
 
 /// A row as it is handed on: its key, version and value, or no value where it was dropped.
-pub type Handed = (String, u64, Option<ByteBuf>);
+pub type RowTuple = (String, u64, Option<ByteBuf>);
 
 /// The rows from which on they are packed, and the bytes: less takes no more than three packets.
 const PACKED_FROM: usize = 24;
@@ -23,12 +23,12 @@
 const MOST: u64 = 32 * 1024 * 1024;
 
 /// Returns a row as it is handed on.
-pub fn handed(row: Row) -> Handed {
+pub fn to_tuple(row: Row) -> RowTuple {
     (row.key, row.version, row.value.map(ByteBuf::from))
 }
 
 /// Returns the row that was handed on.
-pub fn row((key, version, value): Handed) -> Row {
+pub fn row((key, version, value): RowTuple) -> Row {
     Row {
         key,
         value: value.map(ByteBuf::into_vec),
@@ -61,13 +61,13 @@
 }
 
 /// Returns whether rows are packed.
-pub fn is_worth(rows: &[Handed]) -> bool {
-    let size = |(key, _, value): &Handed| key.len() + value.as_ref().map_or(0, |v| v.len());
+pub fn should_pack(rows: &[RowTuple]) -> bool {
+    let size = |(key, _, value): &RowTuple| key.len() + value.as_ref().map_or(0, |v| v.len());
     rows.len() >= PACKED_FROM || rows.iter().map(size).sum::<usize>() >= PACKED_BYTES
 }
 
 /// Packs rows.
-pub fn pack(rows: &[Handed]) -> Vec<u8> {
+pub fn pack(rows: &[RowTuple]) -> Vec<u8> {
     let mut plain = Vec::new();
     // Rows hold only types that CBOR can express, and a Vec takes all bytes.
     ciborium::into_writer(rows, &mut plain).expect("rows are always CBOR");
@@ -81,7 +81,7 @@
 /// # Errors
 ///
 /// Fails with a sentence for people when the bytes are no packed rows.
-pub fn unpack(buf: &[u8]) -> Result<Vec<Handed>, String> {
+pub fn unpack(buf: &[u8]) -> Result<Vec<RowTuple>, String> {
     let mut plain = Vec::new();
     let mut decoder = DeflateDecoder::new(buf).take(MOST);
     decoder.read_to_end(&mut plain).map_err(|e| e.to_string())?;
--- a/crates/daemon/src/hosted/peer.rs
+++ b/crates/daemon/src/hosted/peer.rs
@@ -9,7 +9,7 @@
 use super::mirror::Mirror;
 use super::pack;
 use super::replica::Kept;
-use super::room::Message;
+use super::event_loop::Message;
 use super::shared::Shared;
 use crate::clock;
 use async_channel::{Receiver, Sender};
@@ -120,7 +120,7 @@
             // The loop ends only with the process.
             let _ = shared
                 .send
-                .send(Message::Opened(name, number, outbox))
+                .send(Message::LinkOpened(name, number, outbox))
                 .await;
         });
     }
@@ -162,7 +162,7 @@
     }
 
     /// Keeps a link that another entry opened.
-    pub fn up(&mut self, link: Link, outbox: Outbox) {
+    pub fn add(&mut self, link: Link, outbox: Outbox) {
         if self.links.len() >= LINKS {
             return outbox.close();
         }
@@ -194,7 +194,7 @@
             number,
             version: own.version,
             era: own.era,
-            rows: mirror.stored(*table).filter_map(row).collect(),
+            rows: mirror.stored_rows(*table).filter_map(row).collect(),
             kept: mirror.kept(*table).map(pack::kept_row).collect(),
         });
     }
@@ -285,7 +285,7 @@
         Ok(open) => {
             let outbox = open.run(number, events, Arc::default());
             // The loop ends only with the process.
-            let _ = shared.send.send(Message::LinkUp(number, outbox)).await;
+            let _ = shared.send.send(Message::LinkAccepted(number, outbox)).await;
         }
         Err(e) => warn!("event=link-refused error={e:?}"),
     }
--- a/crates/daemon/src/hosted/rules.rs
+++ b/crates/daemon/src/hosted/reconcile.rs
@@ -1,13 +1,13 @@
 //! What each table's rows tell of, for the decision what holds of them after the store came back
 //! from a copy.
 
-use super::replica::Case;
+use super::replica::Conflict;
 use sorreldeck::era::{Fate, Kind, Known};
 use sorreldeck_platform::store::{Row, CONFIG};
 use sorreldeck_platform::{config, member, Table};
 
 /// Decides whether what was known of a row holds.
-pub fn fate(table: Table, case: &Case) -> Fate {
+pub fn fate(table: Table, case: &Conflict) -> Fate {
     let kind = kind(table, case.key);
     let known = match (case.known, case.stored) {
         (None, _) => Known::Gone,
--- a/crates/daemon/src/hosted/relay.rs
+++ b/crates/daemon/src/hosted/relay.rs
@@ -6,10 +6,10 @@
 //! messages to and from those, and to the entries that have the tables from here. There is
 //! no socket and no clock: frames go in, orders come out.
 
-use super::counted::Counted;
-use super::found::Found;
+use super::usage::Usage;
+use super::reports::Reports;
 use super::hints::{Hints, Stays};
-use super::mirror::{Mirror, News, Taken};
+use super::mirror::{Mirror, Update, Merge};
 use sorreldeck::duty::{Part, Tally};
 use sorreldeck::era::Stamp;
 use sorreldeck::follow::{Action, Bounds, Follow, Peer, Reading, Word};
@@ -41,7 +41,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
     /// Open a link to an entry.
     Open(InstanceId, SocketAddr),
     /// Close a link.
@@ -51,15 +51,15 @@
     /// Read this much of the store; others may have its tables from here.
     Read(Reading),
     /// Break off the wait for a table and ask for it at once.
-    Ask(Table),
+    Poll(Table),
     /// Take in what the entries of a data hall found.
-    Told(PoolId, Hall, Report),
+    Report(PoolId, Hall, Report),
     /// Take in that an entry sent an upstream a prompt that takes this long to be read.
-    Reads(u64, Span),
+    Prefill(u64, Span),
     /// Take in that an entry serves a session that stays at its release.
-    Stays(Stay),
+    Pin(Stay),
     /// Take in what an entry tells of requests under which upstreams crashed.
-    Word(quarantine::Word),
+    Quarantine(quarantine::Word),
     /// Take in what an upstream said of itself to another entry.
     Notice(notice::Word),
 }
@@ -101,7 +101,7 @@
     own: Peer,
     sources: BTreeMap<Link, Source>,
     takers: BTreeMap<Link, Taker>,
-    found: Found,
+    found: Reports,
     /// Whether the store did not answer this entry the last time.
     failing: bool,
     /// Which tables the store has answered for since it was away, or since they are read.
@@ -119,7 +119,7 @@
     /// Whether this entry is about to stop.
     leaving: bool,
     /// What was counted, where the platform is to be told of it.
-    counted: Option<Counted>,
+    counted: Option<Usage>,
 }
 
 impl Relay {
@@ -130,7 +130,7 @@
             own,
             sources: BTreeMap::new(),
             takers: BTreeMap::new(),
-            found: Found::default(),
+            found: Reports::default(),
             failing: false,
             answered: [false; TABLES],
             asked: [Time::default(); TABLES],
@@ -144,17 +144,17 @@
     }
 
     /// Begins to count the requests that begin to run.
-    pub fn count(&mut self, tally: Tally) {
-        self.counted = Some(Counted::new(tally));
+    pub fn enable_usage(&mut self, tally: Tally) {
+        self.counted = Some(Usage::new(tally));
     }
 
     /// Returns what was counted, where anything is.
-    pub fn counted(&mut self) -> Option<&mut Counted> {
+    pub fn usage(&mut self) -> Option<&mut Usage> {
         self.counted.as_mut()
     }
 
     /// Counts a request of a client account that began to run.
-    pub fn began(&mut self, account: &AccountId, mirror: &Mirror, now: Time) {
+    pub fn count_request(&mut self, account: &AccountId, mirror: &Mirror, now: Time) {
         if let Some(counted) = &mut self.counted {
             counted.began(account, now, mirror.store_time(now));
         }
@@ -171,7 +171,7 @@
     }
 
     /// Returns how many entries have the tables from here.
-    pub fn takers(&self) -> usize {
+    pub fn subscribers(&self) -> usize {
         self.takers.len()
     }
 
@@ -191,7 +191,7 @@
     /// new as the last answer for the operator's, as long as all the others have answered
     /// since the store was away and none of them is [behind](Mirror::behind). Those that have
     /// the tables from here are told at once, since to them the age of that answer counts.
-    pub fn reached(&mut self, table: Table, now: Time) {
+    pub fn note_answer(&mut self, table: Table, now: Time) {
         self.answered[table as usize] = true;
         if table == Table::Operator {
             if std::mem::take(&mut self.failing) {
@@ -212,14 +212,14 @@
 
     /// Notes that what was answered before says nothing any more, since the machine was suspended or
     /// the store came back from a copy.
-    pub fn begin_anew(&mut self, now: Time) {
+    pub fn invalidate(&mut self, now: Time) {
         self.answered = [false; TABLES];
         self.asked = [now; TABLES];
     }
 
     /// Notes that the store has not answered for a table. One that does not answer for the
     /// operator's is taken for away.
-    pub fn missed(&mut self, table: Table) {
+    pub fn note_failure(&mut self, table: Table) {
         self.answered[table as usize] = false;
         if table == Table::Operator {
             self.failing = true;
@@ -234,12 +234,12 @@
     }
 
     /// Notes what this entry has found of a move.
-    pub fn found(&mut self, pool: PoolId, report: Report) {
+    pub fn share_report(&mut self, pool: PoolId, report: Report) {
         self.found.note_near(pool, self.own.name.clone(), report);
     }
 
     /// Notes that this entry sent an upstream a prompt that takes this long to be read.
-    pub fn sent(&mut self, number: u64, reading: Span) {
+    pub fn share_prefill(&mut self, number: u64, reading: Span) {
         let prompt = (number, reading.millis().try_into().unwrap_or(u32::MAX));
         self.hint(Hints {
             prompts: vec![prompt],
@@ -248,7 +248,7 @@
     }
 
     /// Notes that this entry serves a session that stays at its release.
-    pub fn note_stay(&mut self, stay: Stay, now: Time) {
+    pub fn share_pin(&mut self, stay: Stay, now: Time) {
         let stays = vec![stay];
         self.stays.note(&stays, now);
         self.hint(Hints {
@@ -258,7 +258,7 @@
     }
 
     /// Notes what this entry tells of requests under which upstreams crashed.
-    pub fn note_word(&mut self, word: quarantine::Word, now: Time) {
+    pub fn share_quarantine(&mut self, word: quarantine::Word, now: Time) {
         self.hint(Hints {
             words: vec![(word, now)],
             ..Hints::default()
@@ -266,7 +266,7 @@
     }
 
     /// Notes what an upstream said of itself to this entry.
-    pub fn note_notice(&mut self, word: notice::Word) {
+    pub fn share_notice(&mut self, word: notice::Word) {
         self.hint(Hints {
             notices: vec![word],
             ..Hints::default()
@@ -302,14 +302,14 @@
         link: Option<Link>,
         mirror: &Mirror,
         now: Time,
-    ) -> Vec<Order> {
+    ) -> Vec<Command> {
         let Some(link) = link else {
             self.follow.closed(&name, now);
             return Vec::new();
         };
         if !self.follow.opened(&name, now) {
             // Kept, it would make the other end read the store for good.
-            return vec![Order::Close(link)];
+            return vec![Command::Close(link)];
         }
         let asked = self.asks_at_once(&name, mirror);
         let frame = match asked {
@@ -325,7 +325,7 @@
             counted: false,
         };
         self.sources.insert(link, source);
-        vec![Order::Send(link, frame)]
+        vec![Command::Send(link, frame)]
     }
 
     /// Returns whether a source is asked for the tables as soon as it is linked. An entry that
@@ -333,13 +333,13 @@
     /// whole, which is what a hundred entries that start together wait for.
     fn asks_at_once(&self, source: &InstanceId, mirror: &Mirror) -> bool {
         let is_first = !self.sources.values().any(|s| s.asked);
-        mirror.is_informed() || (is_first && self.follow.is_near(source))
+        mirror.has_operator_table() || (is_first && self.follow.is_near(source))
     }
 
     /// Asks the other sources once one has told what there is, or has had the time to.
-    fn ask_rest(&mut self, mirror: &Mirror, now: Time) -> Vec<Order> {
+    fn ask_rest(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
         let is_due =
-            |s: &Source| !s.asked && (mirror.is_informed() || now.since(s.since) >= ASK_REST);
+            |s: &Source| !s.asked && (mirror.has_operator_table() || now.since(s.since) >= ASK_REST);
         let due = self.sources.iter().filter(|(_, s)| is_due(s));
         let due: Vec<(Link, InstanceId)> = due.map(|(l, s)| (*l, s.name.clone())).collect();
         let mut orders = Vec::new();
@@ -349,7 +349,7 @@
                 source.asked = true;
                 source.sent = now;
             }
-            orders.push(Order::Send(link, frame));
+            orders.push(Command::Send(link, frame));
         }
         orders
     }
@@ -363,13 +363,13 @@
     }
 
     /// Takes in a frame; returns what the tables tell and what is to be done.
-    pub fn frame(
+    pub fn handle_frame(
         &mut self,
         link: Link,
         frame: Frame,
         mirror: &mut Mirror,
         now: Time,
-    ) -> (Vec<News>, Vec<Order>) {
+    ) -> (Vec<Update>, Vec<Command>) {
         match frame {
             Frame::Follow(asked) => (Vec::new(), self.asked(link, *asked, mirror, now)),
             Frame::Feed(feed) => self.fed(link, *feed, mirror, now),
@@ -378,8 +378,8 @@
     }
 
     /// Returns what is to be done as time passes.
-    pub fn step(&mut self, mirror: &mut Mirror, now: Time) -> Vec<Order> {
-        if mirror.is_informed() {
+    pub fn step(&mut self, mirror: &mut Mirror, now: Time) -> Vec<Command> {
+        if mirror.has_operator_table() {
             self.follow.informed();
         }
         self.follow.asked(!self.takers.is_empty());
@@ -387,19 +387,19 @@
         let mut orders = Vec::new();
         for action in self.follow.step(now) {
             match action {
-                Action::Open(name, address) => orders.push(Order::Open(name, address)),
+                Action::Open(name, address) => orders.push(Command::Open(name, address)),
                 Action::Read(reading) => {
                     self.failing &= reading != Reading::Nothing;
                     self.answered = [false; TABLES];
                     self.asked = [now; TABLES];
-                    orders.push(Order::Read(reading));
+                    orders.push(Command::Read(reading));
                 }
                 Action::Close(name) => {
                     let links = self.sources.iter().filter(|(_, s)| s.name == name);
                     let links: Vec<Link> = links.map(|(link, _)| *link).collect();
                     for link in links {
                         self.sources.remove(&link);
-                        orders.push(Order::Close(link));
+                        orders.push(Command::Close(link));
                     }
                 }
             }
@@ -407,7 +407,7 @@
         orders.extend(self.ask_anew(mirror, now));
         orders.extend(self.ask_rest(mirror, now));
         orders.extend(self.tell_sources(mirror, now));
-        orders.extend(self.hand_down(mirror, now));
+        orders.extend(self.publish(mirror, now));
         orders
     }
 
@@ -415,7 +415,7 @@
     ///
     /// A wait can hang on a dead connection, or hear nothing after the store forgot its
     /// history, until its own end; that the operator's table is answered for says nothing of it.
-    fn ask_anew(&mut self, mirror: &Mirror, now: Time) -> Vec<Order> {
+    fn ask_anew(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
         if !self.reads_store() || self.failing {
             return Vec::new();
         }
@@ -427,14 +427,14 @@
             let number = table as usize;
             if !self.answered[number] && now.since(self.asked[number]) >= ASKED {
                 self.asked[number] = now;
-                orders.push(Order::Ask(table));
+                orders.push(Command::Poll(table));
             }
         }
         orders
     }
 
     /// Hands on what is new to those that have the tables from here.
-    pub fn hand_down(&mut self, mirror: &mut Mirror, now: Time) -> Vec<Order> {
+    pub fn publish(&mut self, mirror: &mut Mirror, now: Time) -> Vec<Command> {
         let links: Vec<Link> = self.takers.keys().copied().collect();
         let orders = links
             .into_iter()
@@ -442,7 +442,7 @@
         orders.collect()
     }
 
-    fn hand_to(&mut self, link: Link, mirror: &mut Mirror, now: Time) -> Option<Order> {
+    fn hand_to(&mut self, link: Link, mirror: &mut Mirror, now: Time) -> Option<Command> {
         let taker = self.takers.get(&link)?;
         let due = now.since(taker.sent) >= self.follow.bounds().beat;
         let told = !taker.hints.is_empty() && now.since(taker.sent) >= GATHER_HINTS;
@@ -472,7 +472,7 @@
             stays: taker.hints.stays.clone(),
             words: taker.hints.words_at(now),
             notices: taker.hints.notices.clone(),
-            epoch_us: self.counted.as_ref().and_then(Counted::agreed),
+            epoch_us: self.counted.as_ref().and_then(Usage::agreed),
         };
         let taker = self.takers.get_mut(&link)?;
         for table in &feed.tables {
@@ -481,11 +481,11 @@
         taker.sent = now;
         taker.found = self.found.changes();
         taker.hints = Hints::default();
-        Some(Order::Send(link, Frame::Feed(Box::new(feed))))
+        Some(Command::Send(link, Frame::Feed(Box::new(feed))))
     }
 
     /// Tells the sources that this entry is there, and what it has found since.
-    fn tell_sources(&mut self, mirror: &Mirror, now: Time) -> Vec<Order> {
+    fn tell_sources(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
         let beat = self.follow.bounds().beat;
         let changes = self.found.changes();
         let mut orders = Vec::new();
@@ -524,7 +524,7 @@
                 follow.notices.clone_from(&hints.notices);
                 was_told = true;
             }
-            orders.push(Order::Send(*link, Frame::Follow(Box::new(follow))));
+            orders.push(Command::Send(*link, Frame::Follow(Box::new(follow))));
         }
         if !was_told {
             // Prompts are read by the time that a source is linked again; sessions stay, and
@@ -592,7 +592,7 @@
         asked: wire::Follow,
         mirror: &mut Mirror,
         now: Time,
-    ) -> Vec<Order> {
+    ) -> Vec<Command> {
         let is_near = asked.hall == self.own.hall;
         if let Some(have) = asked.have {
             let have = have.versions.map(|version| Stamp::new(have.era, version));
@@ -615,7 +615,7 @@
         }
         let mut orders = Vec::new();
         if let Some(counted) = self.counted.as_mut().filter(|_| is_near) {
-            counted.take(&asked.entry, asked.counts, asked.epoch_us);
+            counted.merge(&asked.entry, asked.counts, asked.epoch_us);
         }
         if is_near {
             let hints = Hints {
@@ -634,7 +634,7 @@
                 .note_near(pool.clone(), asked.entry.clone(), report);
             let others = self.found.near_but(&pool, &self.own.name);
             let hall = self.own.hall.clone();
-            orders.extend(others.map(|sum| Order::Told(pool, hall, sum)));
+            orders.extend(others.map(|sum| Command::Report(pool, hall, sum)));
         }
         orders.extend(self.hand_to(link, mirror, now));
         orders
@@ -647,7 +647,7 @@
         feed: Feed,
         mirror: &mut Mirror,
         now: Time,
-    ) -> (Vec<News>, Vec<Order>) {
+    ) -> (Vec<Update>, Vec<Command>) {
         let Some(source) = self.sources.get(&link) else {
             return (Vec::new(), Vec::new());
         };
@@ -662,10 +662,10 @@
         let mut news = Vec::new();
         let mut gap = false;
         for delta in feed.tables {
-            match mirror.take(delta, now) {
-                Taken::Old => {}
-                Taken::Gap => gap = true,
-                Taken::News(more) => news.extend(more),
+            match mirror.apply_delta(delta, now) {
+                Merge::Stale => {}
+                Merge::Gap => gap = true,
+                Merge::Applied(more) => news.extend(more),
             }
         }
         // An age without the changes that go with it would make what is known look newer
@@ -674,7 +674,7 @@
         let is_current = !gap && feed.era >= mirror.era();
         let heard = feed.heard_us.filter(|_| is_current);
         let word = Word {
-            store: heard.and_then(|micros| mirror.own_time(micros)),
+            store: heard.and_then(|micros| mirror.local_time(micros)),
             leaving: feed.leaving,
         };
         self.follow.heard(&name, word, now);
@@ -691,7 +691,7 @@
                 source.sent = now;
             }
             let frame = self.ask(&name, mirror, now);
-            orders.push(Order::Send(link, frame));
+            orders.push(Command::Send(link, frame));
         }
         if !is_near {
             self.tell_takers(&hints, None, false);
@@ -702,7 +702,7 @@
             }
             // What the own data hall found is known better here where others tell it here.
             if hall != self.own.hall || self.takers.is_empty() {
-                orders.push(Order::Told(pool, hall, report));
+                orders.push(Command::Report(pool, hall, report));
             }
         }
         (news, orders)
@@ -710,8 +710,8 @@
 }
 
 /// Returns what a source is to be told of what was counted: all where it was told nothing yet, or
-/// else what has changed. `counted` is given where it is told of that at all.
-fn counts_for(source: &mut Source, changed: &[Part], counted: Option<&Counted>) -> Vec<Part> {
+/// else what has changed. `usage` is given where it is told of that at all.
+fn counts_for(source: &mut Source, changed: &[Part], counted: Option<&Usage>) -> Vec<Part> {
     let Some(counted) = counted else {
         return Vec::new();
     };
--- a/crates/daemon/src/hosted/replica.rs
+++ b/crates/daemon/src/hosted/replica.rs
@@ -1,7 +1,7 @@
 //! One table of the platform's store as it was known last, with its latest changes, so that
 //! they can be handed on one by one.
 
-use super::pack::{self, Handed};
+use super::pack::{self, RowTuple};
 use sorreldeck::era::{Copied, Era, Fate, Past, Seen, Stamp, Standing, Was};
 use sorreldeck::wire;
 use sorreldeck::Span;
@@ -27,7 +27,7 @@
 
 /// What is handed on of a table.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct Delta {
     /// The version after which the rows changed, or `None` where they are the whole table.
     pub since: Option<u64>,
     /// The rows.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub enum Rows {
     /// Few, as they are.
-    Plain(Vec<Handed>),
+    Plain(Vec<RowTuple>),
     /// Many, in one piece.
     Packed(wire::Packed),
 }
@@ -62,7 +62,7 @@
 }
 
 /// A row of a table, for the decision which of two states holds.
-pub struct Case<'a> {
+pub struct Conflict<'a> {
     /// The key.
     pub key: &'a str,
     /// What the store holds of it, against what was known.
@@ -105,12 +105,12 @@
     ///
     /// In a new era the page holds the whole table, and `fate` decides for each row that differs
     /// whether what was known of it holds.
-    pub fn take(
+    pub fn apply(
         &mut self,
         page: Page,
         era: Era,
         whole: bool,
-        fate: impl Fn(&Case) -> Fate,
+        fate: impl Fn(&Conflict) -> Fate,
     ) -> Vec<String> {
         self.remember(&page, whole);
         let before = std::mem::replace(&mut self.stamp, Stamp::new(era, page.version));
@@ -168,7 +168,7 @@
 
     /// Takes over what another entry keeps with the table that was just taken from it, but for
     /// what is known better here; returns the keys.
-    pub fn keep(&mut self, kept: Vec<Kept>) -> Vec<String> {
+    pub fn merge_kept(&mut self, kept: Vec<Kept>) -> Vec<String> {
         let mut changed = Vec::new();
         for kept in kept {
             let key = kept.row.key.clone();
@@ -207,7 +207,7 @@
         &mut self,
         rows: Vec<Row>,
         newest: u64,
-        fate: impl Fn(&Case) -> Fate,
+        fate: impl Fn(&Conflict) -> Fate,
     ) -> Vec<String> {
         let era = self.stamp.era;
         let rows = rows.into_iter().filter(|row| row.value.is_some());
@@ -220,7 +220,7 @@
         for key in keys {
             let known = self.row(&key);
             let new = rows.get(&key);
-            let case = Case {
+            let case = Conflict {
                 key: &key,
                 standing: self.standing(&key, new, &copied, newest),
                 known,
@@ -305,7 +305,7 @@
     }
 
     /// Takes rows of the same era in; returns the keys that changed.
-    fn merge(&mut self, rows: Vec<Row>, whole: bool, fate: impl Fn(&Case) -> Fate) -> Vec<String> {
+    fn merge(&mut self, rows: Vec<Row>, whole: bool, fate: impl Fn(&Conflict) -> Fate) -> Vec<String> {
         let mut changed = Vec::new();
         let mut noted = BTreeSet::new();
         if whole {
@@ -345,11 +345,11 @@
     }
 
     /// Returns whether what is kept of a row holds though the row was written since.
-    fn still_holds(&self, row: &Row, fate: impl Fn(&Case) -> Fate) -> bool {
+    fn still_holds(&self, row: &Row, fate: impl Fn(&Conflict) -> Fate) -> bool {
         let Some(kept) = self.kept.get(&row.key) else {
             return false;
         };
-        let case = Case {
+        let case = Conflict {
             key: &row.key,
             standing: Standing::Written,
             known: Some(&kept.row).filter(|row| row.value.is_some()),
@@ -407,21 +407,21 @@
     /// Returns what changed after a version of this era, or the whole table where that is 0 or not
     /// all changes since are remembered. Many or large rows go in one piece, which is made once: a hundred entries that
     /// have the tables from here have the same already.
-    pub fn share(&mut self, have: u64) -> Share {
+    pub fn delta(&mut self, have: u64) -> Delta {
         let since = (have > 0 && have >= self.remembered).then_some(have);
         let is_known = |p: &&Packed| p.since == since && p.version == self.stamp.version;
         if let Some(known) = self.packed.as_ref().filter(is_known) {
             let rows = Rows::Packed(known.bytes.clone());
-            return Share { since, rows };
+            return Delta { since, rows };
         }
         let rows = match since {
             Some(since) => self.changes_after(since),
             None => self.stored().cloned().collect(),
         };
-        let rows: Vec<Handed> = rows.into_iter().map(pack::handed).collect();
-        if !pack::is_worth(&rows) {
+        let rows: Vec<RowTuple> = rows.into_iter().map(pack::to_tuple).collect();
+        if !pack::should_pack(&rows) {
             let rows = Rows::Plain(rows);
-            return Share { since, rows };
+            return Delta { since, rows };
         }
         let bytes: wire::Packed = pack::pack(&rows).into();
         self.packed = Some(Packed {
@@ -430,7 +430,7 @@
             bytes: bytes.clone(),
         });
         let rows = Rows::Packed(bytes);
-        Share { since, rows }
+        Delta { since, rows }
     }
 
     /// Returns what changed after a version since which all is remembered, the latest state of
--- a/crates/daemon/src/hosted/found.rs
+++ b/crates/daemon/src/hosted/reports.rs
@@ -7,14 +7,14 @@
 
 /// What was found.
 #[derive(Clone, Debug, Default)]
-pub struct Found {
+pub struct Reports {
     near: BTreeMap<(PoolId, InstanceId), Report>,
     far: BTreeMap<(PoolId, Hall), Report>,
     /// The changes so far.
     changes: u64,
 }
 
-impl Found {
+impl Reports {
     /// Returns how often anything changed.
     pub fn changes(&self) -> u64 {
         self.changes
--- a/crates/daemon/src/hosted/restorer.rs
+++ b/crates/daemon/src/hosted/restorer.rs
@@ -4,9 +4,9 @@
 //! at once one succeeds. Those that read the store write first, and what they wrote is heard by the
 //! others meanwhile. Where an entry is, it alone writes.
 
-use super::mirror::{Again, Mirror, ENTRY};
+use super::mirror::{Rewrite, Mirror, ENTRY_PREFIX};
 use super::mover;
-use super::room::Message;
+use super::event_loop::Message;
 use async_channel::Sender;
 use log::{info, warn};
 use sorreldeck::{InstanceId, Span, Time};
@@ -36,8 +36,8 @@
     /// Creates the writer of an instance.
     pub fn new(instance: &InstanceId) -> Restorer {
         Restorer {
-            own: format!("{ENTRY}{instance}"),
-            offset: mover::offset(instance),
+            own: format!("{ENTRY_PREFIX}{instance}"),
+            offset: mover::jitter(instance),
             due: BTreeMap::new(),
             writing: false,
         }
@@ -52,16 +52,16 @@
         store: &Store,
         tell: &Sender<Message>,
     ) {
-        let lost = mirror.lost(&self.own, now);
+        let lost = mirror.lost_rows(&self.own, now);
         self.plan(&lost, now, reads);
         if self.writing || lost.is_empty() {
             return;
         }
-        let is_due = |again: &&Again| {
+        let is_due = |again: &&Rewrite| {
             let due = self.due.get(&(again.table, again.key.clone()));
             due.is_some_and(|due| now >= *due)
         };
-        let due: Vec<&Again> = lost.iter().filter(is_due).take(MOST).collect();
+        let due: Vec<&Rewrite> = lost.iter().filter(is_due).take(MOST).collect();
         if due.is_empty() {
             return;
         }
@@ -75,7 +75,7 @@
         }
         self.writing = true;
         let change = due.into_iter().fold(Change::default(), add);
-        mover::write(change, store, tell, Message::WrittenAgain);
+        mover::write(change, store, tell, Message::RowsRestored);
     }
 
     /// Takes in what came of a write; the rows themselves come with the feed.
@@ -87,10 +87,10 @@
     }
 
     /// Sets when what is lost is written, and forgets what is not lost any more.
-    fn plan(&mut self, lost: &[Again], now: Time, reads: bool) {
+    fn plan(&mut self, lost: &[Rewrite], now: Time, reads: bool) {
         let mut due = std::mem::take(&mut self.due);
         for again in lost {
-            let wait = match again.key.starts_with(ENTRY) {
+            let wait = match again.key.starts_with(ENTRY_PREFIX) {
                 true => Span::from_micros(self.offset.micros() * OWN_SPREAD),
                 false => self.offset + mover::behind(reads),
             };
@@ -101,7 +101,7 @@
     }
 }
 
-fn add(change: Change, again: &Again) -> Change {
+fn add(change: Change, again: &Rewrite) -> Change {
     let change = change.expect(again.table, &again.key, again.version);
     match &again.value {
         Some(value) => change.put(again.table, &again.key, value),
--- a/crates/daemon/src/hosted/shared.rs
+++ b/crates/daemon/src/hosted/shared.rs
@@ -1,6 +1,6 @@
 //! What tasks share with the loop of a hosted entry.
 
-use super::room::Message;
+use super::event_loop::Message;
 use async_channel::Sender;
 use sorreldeck::{Incarnation, RequestId};
 use sorreldeck_platform::config::Limits;
@@ -73,17 +73,17 @@
     }
 
     /// Sets memory aside for a part of a body; returns whether there was room.
-    pub fn set_aside(&self, bytes: usize) -> bool {
+    pub fn reserve(&self, bytes: usize) -> bool {
         let before = self.buffered.fetch_add(bytes, Ordering::Relaxed);
         let fits = before + bytes <= self.room_for_bodies;
         if !fits {
-            self.give_back(bytes);
+            self.release(bytes);
         }
         fits
     }
 
     /// Gives memory back.
-    pub fn give_back(&self, bytes: usize) {
+    pub fn release(&self, bytes: usize) {
         self.buffered.fetch_sub(bytes, Ordering::Relaxed);
     }
 }
--- a/crates/daemon/src/hosted/counted.rs
+++ b/crates/daemon/src/hosted/usage.rs
@@ -9,7 +9,7 @@
 
 /// What is known here of counts and of the time of day.
 #[derive(Clone, Debug)]
-pub struct Counted {
+pub struct Usage {
     tally: Tally,
     told: Time,
     /// The time of day less the store's clock, in microseconds: of entries that told it, and the
@@ -18,10 +18,10 @@
     agreed: Option<i64>,
 }
 
-impl Counted {
+impl Usage {
     /// Creates what is known where nothing was counted.
-    pub fn new(tally: Tally) -> Counted {
-        Counted {
+    pub fn new(tally: Tally) -> Usage {
+        Usage {
             tally,
             told: Time::default(),
             epochs: BTreeMap::new(),
@@ -78,7 +78,7 @@
     }
 
     /// Takes in what another entry of this data hall tells.
-    pub fn take(&mut self, entry: &InstanceId, parts: Vec<Part>, epoch: Option<i64>) {
+    pub fn merge(&mut self, entry: &InstanceId, parts: Vec<Part>, epoch: Option<i64>) {
         self.tally.take(entry, parts);
         if let Some(epoch) = epoch {
             self.epochs.insert(entry.clone(), epoch);
--- a/crates/daemon/src/hosted/web.rs
+++ b/crates/daemon/src/hosted/web.rs
@@ -1,6 +1,6 @@
 //! What a hosted entry tells about itself: readiness and metrics.
 
-use super::room::{Message, Room};
+use super::event_loop::{Message, EventLoop};
 use super::shared::Shared;
 
 /// Returns the application that tells whether callers may come.
@@ -20,11 +20,11 @@
     app.at("/metrics")
         .get(|request: tide::Request<Shared>| async move {
             let (reply, text) = async_channel::bounded(1);
-            let with = move |room: &mut Room| {
+            let with = move |room: &mut EventLoop| {
                 // The caller may have gone; then nobody wants the text.
                 let _ = reply.try_send(room.metrics_text());
             };
-            let message = Message::With(Box::new(with));
+            let message = Message::Execute(Box::new(with));
             if request.state().send.send(message).await.is_err() {
                 return Ok(tide::Response::new(503));
             }
--- a/crates/daemon/tests/counts.rs
+++ b/crates/daemon/tests/counts.rs
@@ -17,7 +17,7 @@
     world.put_upstreams();
     for (number, node) in world.nodes.iter_mut().enumerate() {
         let own = Incarnation(number as u64);
-        node.relay.count(Tally::new(own, LENGTH));
+        node.relay.enable_usage(Tally::new(own, LENGTH));
     }
     world.pass(steps(10_000));
     world
@@ -32,7 +32,7 @@
         }
         for number in 0..accounts {
             let account: AccountId = format!("a-{number}").parse().unwrap();
-            node.relay.began(&account, &node.mirror, now);
+            node.relay.count_request(&account, &node.mirror, now);
         }
     }
     Window::at(now, LENGTH)
@@ -43,7 +43,7 @@
     let nodes = world.nodes.iter_mut();
     let near = nodes.filter(|node| node.peer.hall.as_str() == hall);
     let sum =
-        |node: &mut sorreldeck_sim::Node| node.relay.counted().unwrap().tally().sum(window).total();
+        |node: &mut sorreldeck_sim::Node| node.relay.usage().unwrap().tally().sum(window).total();
     let mut sums: Vec<u64> = near.map(sum).collect();
     sums.sort_unstable_by(|a, b| b.cmp(a));
     sums.truncate(2);
@@ -78,7 +78,7 @@
     world.kill(first, until);
     world.nodes[first]
         .relay
-        .count(Tally::new(Incarnation(99), LENGTH));
+        .enable_usage(Tally::new(Incarnation(99), LENGTH));
     world.pass(steps(4_000));
     // All but what the first itself counted.
     assert_eq!(sums(&mut world, "h-0", window)[0], 28);
--- a/crates/daemon/tests/growth.rs
+++ b/crates/daemon/tests/growth.rs
@@ -103,7 +103,7 @@
         let lost = world
             .nodes
             .iter()
-            .filter(|n| now >= n.alone_until && !n.mirror.is_informed());
+            .filter(|n| now >= n.alone_until && !n.mirror.has_operator_table());
         assert_eq!(lost.count(), 0, "{store:?}, seed {seed}");
         world.pass(secs(5));
         let number = world.configure();
--- a/crates/daemon/tests/mirror.rs
+++ b/crates/daemon/tests/mirror.rs
@@ -5,7 +5,7 @@
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
 use sorreldeck_sim::rows::{self, gone};
-use sorreldeckd::hosted::{Mirror, News, Taken};
+use sorreldeckd::hosted::{Mirror, Update, Merge};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use test_case::test_case;
@@ -47,9 +47,9 @@
     mirror
 }
 
-fn retired(news: &[News]) -> Vec<String> {
+fn retired(news: &[Update]) -> Vec<String> {
     let names = news.iter().filter_map(|n| match n {
-        News::Retired(upstream) => Some(upstream.to_string()),
+        Update::Retired(upstream) => Some(upstream.to_string()),
         _ => None,
     });
     names.collect()
@@ -95,7 +95,7 @@
     let rows = (0..7).map(|i| gone(&format!("i-{i}"), 11 + i)).collect();
     let news = mirror.apply(Table::Upstreams, page(rows, 17), false, at(5_400));
     assert!(news.is_empty(), "{news:?}");
-    assert_eq!(mirror.held()[0].keys.len(), 7);
+    assert_eq!(mirror.take_suspects()[0].keys.len(), 7);
     let last = vec![gone("i-7", 18)];
     let news = mirror.apply(Table::Upstreams, page(last, 18), false, at(5_900));
     assert!(news.is_empty(), "the last of them a page later: {news:?}");
@@ -126,13 +126,13 @@
 fn calls_that_fail_are_no_sign_of_lapsed_leases(table: Table, times: u64, leaving: u64) {
     let mut mirror = mirror();
     for _ in 0..times {
-        mirror.failed(table);
+        mirror.mark_failing(table);
     }
     let rows = (0..leaving).map(|i| gone(&format!("i-{i}"), 11 + i));
     let rows = page(rows.collect(), 10 + leaving);
     let news = mirror.apply(Table::Upstreams, rows, false, at(5_500));
     assert_eq!(retired(&news).len() as u64, leaving);
-    assert!(mirror.held().is_empty());
+    assert!(mirror.take_suspects().is_empty());
 }
 
 #[test]
@@ -170,7 +170,7 @@
     let rows = vec![gone("i-0", 11), row("i-9", "ready", 12)];
     let news = mirror.apply(Table::Upstreams, page(rows, 12), false, at(100));
     assert_eq!(retired(&news), ["i-0"]);
-    assert!(news.iter().any(|n| matches!(n, News::Joined(_))));
+    assert!(news.iter().any(|n| matches!(n, Update::Joined(_))));
 }
 
 #[test]
@@ -189,11 +189,11 @@
         "it is not that upstream's any more"
     );
     assert_eq!(news.len(), 1);
-    assert_eq!(mirror.troubles().len(), 1);
+    assert_eq!(mirror.take_malformed().len(), 1);
     let rows = vec![nonsense("config")];
     let news = mirror.apply(Table::Operator, page(rows, 11), false, at(100));
     assert!(news.is_empty());
-    assert_eq!(mirror.troubles().len(), 1);
+    assert_eq!(mirror.take_malformed().len(), 1);
 }
 
 #[test]
@@ -213,8 +213,8 @@
         version: 6,
     };
     mirror.apply(Table::Progress, page(vec![told], 6), true, at(0));
-    let state = |news: &[News]| match news {
-        [News::Move(_, state, _)] => *state,
+    let state = |news: &[Update]| match news {
+        [Update::Move(_, state, _)] => *state,
         other => panic!("{other:?}"),
     };
     let news = mirror.apply(Table::Operator, page(vec![order(5)], 6), true, at(0));
@@ -238,13 +238,13 @@
         (delta.since, delta.version, delta.rows.len()),
         (Some(10), 13, 2)
     );
-    let Taken::News(news) = taker.take(delta.clone(), at(200)) else {
+    let Merge::Applied(news) = taker.apply_delta(delta.clone(), at(200)) else {
         panic!("nothing was taken in");
     };
     let left: BTreeSet<String> = retired(&news).into_iter().collect();
     assert_eq!(left, BTreeSet::from(["i-0".into(), "i-1".into()]));
     assert_eq!(taker.version(Table::Upstreams), 13);
-    assert!(matches!(taker.take(delta, at(300)), Taken::Old), "doubled");
+    assert!(matches!(taker.apply_delta(delta, at(300)), Merge::Stale), "doubled");
 }
 
 #[test]
@@ -253,7 +253,7 @@
     let delta = handed(&mut teller, 0);
     assert_eq!((delta.since, delta.rows.len()), (None, 7));
     let mut taker = Mirror::default();
-    let Taken::News(news) = taker.take(delta, at(200)) else {
+    let Merge::Applied(news) = taker.apply_delta(delta, at(200)) else {
         panic!("nothing was taken in");
     };
     assert_eq!(news.len(), 6, "one of the seven is leaving: {news:?}");
@@ -264,7 +264,7 @@
     let mut teller = mirror();
     let delta = handed(&mut teller, 11);
     let mut taker = mirror();
-    assert!(matches!(taker.take(delta, at(200)), Taken::Gap));
+    assert!(matches!(taker.apply_delta(delta, at(200)), Merge::Gap));
     assert_eq!(taker.version(Table::Upstreams), 10);
 }
 
@@ -274,7 +274,7 @@
     let old = handed(&mut teller, 10);
     let rows = vec![gone("i-0", 11), gone("i-1", 12), row("i-8", "ready", 14)];
     taker.apply(Table::Upstreams, page(rows, 14), false, at(150));
-    assert!(matches!(taker.take(old, at(200)), Taken::Old));
+    assert!(matches!(taker.apply_delta(old, at(200)), Merge::Stale));
     assert_eq!(taker.version(Table::Upstreams), 14);
     assert!(taker.row(Table::Upstreams, "i-0").is_none());
 }
@@ -303,9 +303,9 @@
     assert!(teller.delta(Table::Own, 39.into()).is_none());
 }
 
-fn joined(news: &[News]) -> Vec<Option<u64>> {
+fn joined(news: &[Update]) -> Vec<Option<u64>> {
     let starts = news.iter().filter_map(|n| match n {
-        News::Joined(listed) => Some(listed.member.place.start.map(|start| start.0)),
+        Update::Joined(listed) => Some(listed.member.place.start.map(|start| start.0)),
         _ => None,
     });
     starts.collect()
@@ -382,12 +382,12 @@
     let news = mirror.apply(Table::Upstreams, page(rows, 14), false, at(100));
     assert_eq!(retired(&news), ["i-3"]);
     assert_eq!(joined(&news).len(), 1);
-    assert_eq!(mirror.troubles().len(), 3, "a line for each");
+    assert_eq!(mirror.take_malformed().len(), 3, "a line for each");
 }
 
-fn evacuated(news: &[News]) -> Vec<Vec<String>> {
+fn evacuated(news: &[Update]) -> Vec<Vec<String>> {
     let orders = news.iter().filter_map(|n| match n {
-        News::Evacuated(halls) => Some(halls.iter().map(ToString::to_string).collect()),
+        Update::Evacuated(halls) => Some(halls.iter().map(ToString::to_string).collect()),
         _ => None,
     });
     orders.collect()
@@ -449,7 +449,7 @@
     cold["cold-left-ms"] = 2_400.into();
     let rows = vec![rows::row("i-3", &cold, 11)];
     let news = mirror.apply(Table::Upstreams, page(rows, 11), false, at(100));
-    assert!(matches!(&news[..], [News::Cold(upstream, left)]
+    assert!(matches!(&news[..], [Update::Cold(upstream, left)]
         if upstream.as_str() == "i-3" && left.millis() == 2_400));
     let rows = vec![row("i-3", "ready", 12)];
     let news = mirror.apply(Table::Upstreams, page(rows, 12), false, at(2_600));
@@ -486,7 +486,7 @@
     assert!(packed * 4 < plain, "{plain} bytes packed to {packed}");
     assert!(delta.rows.is_empty());
     let mut taker = Mirror::default();
-    let Taken::News(news) = taker.take(delta, at(0)) else {
+    let Merge::Applied(news) = taker.apply_delta(delta, at(0)) else {
         panic!("it is not taken");
     };
     assert_eq!(news.len(), 3_000);
@@ -535,7 +535,7 @@
     );
     let mut taker = Mirror::default();
     taker.apply(Table::Operator, page(Vec::new(), 1), true, at(0));
-    taker.take(delta, at(0));
+    taker.apply_delta(delta, at(0));
     assert!(taker.rows(Table::Operator).eq(teller.rows(Table::Operator)));
 }
 
@@ -547,7 +547,7 @@
     let half = packed.len() / 2;
     *packed = packed[..half].to_vec().into();
     let mut taker = Mirror::default();
-    assert!(matches!(taker.take(delta, at(0)), Taken::Gap));
+    assert!(matches!(taker.apply_delta(delta, at(0)), Merge::Gap));
     assert_eq!(taker.version(Table::Upstreams), 0);
-    assert_eq!(taker.troubles().len(), 1);
+    assert_eq!(taker.take_malformed().len(), 1);
 }
--- a/crates/daemon/tests/other_writers.rs
+++ b/crates/daemon/tests/other_writers.rs
@@ -10,7 +10,7 @@
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Settings;
 use sorreldeck_platform::{call, config, member, release, Table};
-use sorreldeckd::hosted::{Mirror, News};
+use sorreldeckd::hosted::{Mirror, Update};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -107,13 +107,13 @@
             news.extend(mirror.tick(now + sorreldeck::Span::from_millis(5_000), None));
             for news in news {
                 match news {
-                    News::Joined(listed) => {
+                    Update::Joined(listed) => {
                         let bytes = value.clone().unwrap();
                         prop_assert!(names_one(&key, &bytes), "{key:?} {bytes:?}");
                         prop_assert_eq!(listed.member.upstream.as_str(), &key);
                         used.insert(key.clone(), bytes);
                     }
-                    News::Retired(upstream) => drop(used.remove(upstream.as_str())),
+                    Update::Retired(upstream) => drop(used.remove(upstream.as_str())),
                     _ => {}
                 }
             }
@@ -138,7 +138,7 @@
             let version = number as u64 + 1;
             let row = Row { key: key.clone(), value: Some(bytes.clone()), version };
             mirror.apply(table, page(vec![row], version), false, Time(1_000_000));
-            prop_assert!(mirror.troubles().len() <= 2, "one line a row");
+            prop_assert!(mirror.take_malformed().len() <= 2, "one line a row");
         }
         // What these return was checked above; here it is that they do.
         let _ = (member::decode(&key, &bytes), config::decode(&bytes));
--- a/crates/daemon/tests/relay/main.rs
+++ b/crates/daemon/tests/relay/main.rs
@@ -17,7 +17,7 @@
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
 use sorreldeck_sim::{upstream, Node, World, LIMITS, UPSTREAMS};
-use sorreldeckd::hosted::{Mirror, Order, Relay};
+use sorreldeckd::hosted::{Mirror, Command, Relay};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 use test_case::test_case;
@@ -225,7 +225,7 @@
         mirror.apply(Table::Upstreams, page(rows, 5), true, Time(1));
         let mut links = Vec::new();
         for order in relay.step(&mut mirror, Time(1)) {
-            if let Order::Open(name, _) = order {
+            if let Command::Open(name, _) = order {
                 links.push(links.len() as Link + 1);
                 relay.opened(name, links.last().copied(), &mirror, Time(1));
             }
@@ -294,7 +294,7 @@
             ..Default::default()
         };
         let frame = Frame::Feed(Box::new(feed));
-        relay.frame(links[0], frame, &mut mirror, Time(2_000));
+        relay.handle_frame(links[0], frame, &mut mirror, Time(2_000));
         let age = relay.follow().age(Time(2_000));
         assert_eq!(age.is_some(), known, "changes since {since}");
     }
@@ -315,7 +315,7 @@
 #[test_case(4, 80; "many entries")]
 fn all_entries_are_told_of_a_session_that_stays(halls: usize, entries: usize) {
     let world = each_tells(11, halls, entries, |relay, number, now| {
-        relay.note_stay(stay(number), now);
+        relay.share_pin(stay(number), now);
     });
     assert_all_are_told(&world, |node| node.stays.clone());
 }
@@ -361,7 +361,7 @@
             ago_ms: 0,
             there: vec![Fingerprint::of(&[b"request"])],
         };
-        relay.note_word(word, now);
+        relay.share_quarantine(word, now);
     });
     assert_all_are_told(&world, |node| {
         node.words.iter().filter_map(crashed).collect()
@@ -381,7 +381,7 @@
 #[test_case(4, 80; "eighty entries")]
 fn all_entries_are_told_of_what_upstreams_said_of_themselves(halls: usize, entries: usize) {
     let world = each_tells(14, halls, entries, |relay, number, _| {
-        relay.note_notice(notice::Word {
+        relay.share_notice(notice::Word {
             upstream: number,
             change: notice::Change::Unlimited,
         });
@@ -405,7 +405,7 @@
     let mut world = World::new(12, 3, 30);
     world.pass(250);
     let now = world.now;
-    world.nodes[0].relay.note_stay(stay(7), now);
+    world.nodes[0].relay.share_pin(stay(7), now);
     world.pass(15);
     let mut readers = (2..30).filter(|n| world.nodes[*n].reading == Reading::All);
     let reader = readers.next().unwrap();
--- a/crates/daemon/tests/restore_search.rs
+++ b/crates/daemon/tests/restore_search.rs
@@ -9,7 +9,7 @@
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
 use sorreldeck_sim::rows::{config, gone, upstream};
-use sorreldeckd::hosted::{Mirror, News, Taken};
+use sorreldeckd::hosted::{Mirror, Update, Merge};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
 use test_case::test_case;
@@ -255,7 +255,7 @@
             era: Some(Era(self.era)),
         };
         let whole = since.is_none();
-        let heard = entry.mirror.hear(table, &page, whole, NOW, NOW);
+        let heard = entry.mirror.observe_era(table, &page, whole, NOW, NOW);
         assert_ne!(heard, Heard::Late);
         let news = entry.mirror.apply(table, page, whole, NOW);
         entry.note(news);
@@ -266,7 +266,7 @@
         let have = Stamp::new(taker.era(), taker.base(table).unwrap_or(0));
         if let Some(delta) = self.entries[from].mirror.delta(table, have) {
             let taker = &mut self.entries[1 - from];
-            if let Taken::News(news) = taker.mirror.take(delta, NOW) {
+            if let Merge::Applied(news) = taker.mirror.apply_delta(delta, NOW) {
                 taker.note(news);
             }
         }
@@ -299,19 +299,19 @@
 }
 
 impl Entry {
-    fn note(&mut self, news: Vec<News>) {
+    fn note(&mut self, news: Vec<Update>) {
         for news in news {
             match news {
                 // As an entry does: its configuration climbs.
-                News::Config(config) => {
+                Update::Config(config) => {
                     self.revision = self.revision.max(config.tree.revision().0);
                 }
-                News::Joined(listed) => drop(self.uses.insert(listed.member.upstream.to_string())),
-                News::Retired(upstream) => {
+                Update::Joined(listed) => drop(self.uses.insert(listed.member.upstream.to_string())),
+                Update::Retired(upstream) => {
                     self.uses.remove(upstream.as_str());
                     self.left.insert(upstream.to_string());
                 }
-                News::Evacuated(halls) => self.evacuated = halls.len(),
+                Update::Evacuated(halls) => self.evacuated = halls.len(),
                 _ => {}
             }
         }
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -7,7 +7,7 @@
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
 use sorreldeck_sim::rows::{self, gone, row};
-use sorreldeckd::hosted::{Mirror, News, Taken};
+use sorreldeckd::hosted::{Mirror, Update, Merge};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use test_case::test_case;
@@ -53,19 +53,19 @@
     }
 
     /// Takes in an answer of the store.
-    fn read(&mut self, table: Table, rows: Vec<Row>, version: u64, whole: bool) -> Vec<News> {
+    fn read(&mut self, table: Table, rows: Vec<Row>, version: u64, whole: bool) -> Vec<Update> {
         let page = self.page(rows, version);
         let (asked, now) = (at(self.now), at(self.now) + Span::from_micros(1));
-        let heard = self.mirror.hear(table, &page, whole, asked, now);
+        let heard = self.mirror.observe_era(table, &page, whole, asked, now);
         assert_ne!(heard, Heard::Late);
         self.mirror.apply(table, page, whole, at(self.now))
     }
 
-    fn whole(&mut self, table: Table, rows: Vec<Row>, version: u64) -> Vec<News> {
+    fn whole(&mut self, table: Table, rows: Vec<Row>, version: u64) -> Vec<Update> {
         self.read(table, rows, version, true)
     }
 
-    fn changed(&mut self, table: Table, row: Row) -> Vec<News> {
+    fn changed(&mut self, table: Table, row: Row) -> Vec<Update> {
         let version = row.version;
         self.read(table, vec![row], version, false)
     }
@@ -77,7 +77,7 @@
     }
 
     /// Lets time pass in which the store is heard.
-    fn passes(&mut self, ms: u64) -> Vec<News> {
+    fn passes(&mut self, ms: u64) -> Vec<Update> {
         let mut news = Vec::new();
         for _ in 0..ms / STEP {
             self.now += STEP;
@@ -88,40 +88,40 @@
     }
 
     /// Lets time pass in which it is not.
-    fn passes_unheard(&mut self, ms: u64) -> Vec<News> {
+    fn passes_unheard(&mut self, ms: u64) -> Vec<Update> {
         let heard = at(self.now);
         self.now += ms;
         self.mirror.tick(at(self.now), Some(heard))
     }
 }
 
-fn retired(news: &[News]) -> BTreeSet<String> {
+fn retired(news: &[Update]) -> BTreeSet<String> {
     let names = news.iter().filter_map(|news| match news {
-        News::Retired(upstream) => Some(upstream.to_string()),
+        Update::Retired(upstream) => Some(upstream.to_string()),
         _ => None,
     });
     names.collect()
 }
 
-fn joined(news: &[News]) -> BTreeSet<String> {
+fn joined(news: &[Update]) -> BTreeSet<String> {
     let names = news.iter().filter_map(|news| match news {
-        News::Joined(listed) => Some(listed.member.upstream.to_string()),
+        Update::Joined(listed) => Some(listed.member.upstream.to_string()),
         _ => None,
     });
     names.collect()
 }
 
-fn revisions(news: &[News]) -> Vec<u64> {
+fn revisions(news: &[Update]) -> Vec<u64> {
     let told = news.iter().filter_map(|news| match news {
-        News::Config(config) => Some(config.tree.revision().0),
+        Update::Config(config) => Some(config.tree.revision().0),
         _ => None,
     });
     told.collect()
 }
 
-fn evacuated(news: &[News]) -> Vec<usize> {
+fn evacuated(news: &[Update]) -> Vec<usize> {
     let told = news.iter().filter_map(|news| match news {
-        News::Evacuated(halls) => Some(halls.len()),
+        Update::Evacuated(halls) => Some(halls.len()),
         _ => None,
     });
     told.collect()
@@ -236,7 +236,7 @@
     assert!(follower
         .whole(Table::Upstreams, copied(), 20)
         .iter()
-        .all(|n| !matches!(n, News::Joined(_))));
+        .all(|n| !matches!(n, Update::Joined(_))));
     assert!(joined(&follower.passes(4_000)).is_empty());
     assert_eq!(joined(&follower.passes(600)), names(["i-3"]));
 }
@@ -266,7 +266,7 @@
     follower.whole(Table::Operator, vec![config(23, 13)], 20);
     let delta = follower.mirror.delta(Table::Operator, Stamp::default());
     let mut fresh = Mirror::default();
-    let Taken::News(news) = fresh.take(delta.unwrap(), at(follower.now)) else {
+    let Merge::Applied(news) = fresh.apply_delta(delta.unwrap(), at(follower.now)) else {
         panic!("it is not taken");
     };
     assert_eq!(revisions(&news).last(), Some(&26));
@@ -373,9 +373,9 @@
     row(MOVE, &value, version)
 }
 
-fn moves(news: &[News]) -> Vec<(Stamp, Option<State>)> {
+fn moves(news: &[Update]) -> Vec<(Stamp, Option<State>)> {
     let told = news.iter().filter_map(|news| match news {
-        News::Move(order, state, _) => Some((order.number, *state)),
+        Update::Move(order, state, _) => Some((order.number, *state)),
         _ => None,
     });
     told.collect()
@@ -401,7 +401,7 @@
 fn lost(follower: &Follower) -> Vec<(Table, String, u64)> {
     let lost = follower
         .mirror
-        .lost("entry/e-1", at(follower.now))
+        .lost_rows("entry/e-1", at(follower.now))
         .into_iter();
     lost.map(|again| (again.table, again.key, again.version))
         .collect()
@@ -490,7 +490,7 @@
             era: era.map(Era),
         };
         let later = at(ms) + Span::from_millis(5);
-        mirror.hear(Table::Operator, &page, true, at(ms), later);
+        mirror.observe_era(Table::Operator, &page, true, at(ms), later);
         revisions(&mirror.apply(Table::Operator, page, true, later))
     };
     assert_eq!(read(before, config(23, 31), 31, 0), [23]);
@@ -513,7 +513,7 @@
     let (asked, now) = (at(follower.now - 10), at(follower.now + 10));
     let heard = follower
         .mirror
-        .hear(Table::Operator, &late, true, asked, now);
+        .observe_era(Table::Operator, &late, true, asked, now);
     assert_eq!(heard, Heard::Late);
     assert_eq!(
         follower.mirror.stamp(Table::Operator),
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -14,7 +14,7 @@
 use sorreldeck::{InstanceId, Span, Time, UpstreamId};
 use sorreldeck_platform::store::Row;
 use sorreldeck_platform::Table;
-use sorreldeckd::hosted::{Mirror, News, Order, Relay};
+use sorreldeckd::hosted::{Mirror, Update, Command, Relay};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The times within which a change must be known, as installations of some three, 30 and 100
@@ -273,13 +273,13 @@
         self.at(due, Event::Frame(to, Box::new(frame)));
     }
 
-    pub fn carry_out(&mut self, node: usize, orders: Vec<Order>) {
+    pub fn carry_out(&mut self, node: usize, orders: Vec<Command>) {
         for order in orders {
             match order {
-                Order::Open(name, _) => self.open(node, name),
-                Order::Close(link) => self.close((node, link)),
-                Order::Send(link, frame) => self.send((node, link), frame),
-                Order::Read(reading) => {
+                Command::Open(name, _) => self.open(node, name),
+                Command::Close(link) => self.close((node, link)),
+                Command::Send(link, frame) => self.send((node, link), frame),
+                Command::Read(reading) => {
                     let before = std::mem::replace(&mut self.nodes[node].reading, reading);
                     for (poll, table) in self.nodes[node].polls.iter_mut().zip(Table::ALL) {
                         if !is_read(reading, table) || before == Reading::Entries {
@@ -287,13 +287,13 @@
                         }
                     }
                 }
-                Order::Ask(table) => {
+                Command::Poll(table) => {
                     self.nodes[node].polls[table as usize] = Poll::default();
                 }
-                Order::Stays(stay) => drop(self.nodes[node].stays.insert(stay.session)),
-                Order::Word(word) => self.nodes[node].words.push(word),
-                Order::Notice(word) => self.nodes[node].notices.push(word),
-                Order::Told(..) | Order::Reads(..) => {}
+                Command::Pin(stay) => drop(self.nodes[node].stays.insert(stay.session)),
+                Command::Quarantine(word) => self.nodes[node].words.push(word),
+                Command::Notice(word) => self.nodes[node].notices.push(word),
+                Command::Report(..) | Command::Prefill(..) => {}
             }
         }
     }
@@ -355,12 +355,12 @@
                     return;
                 }
                 let n = &mut self.nodes[end.0];
-                let (news, orders) = n.relay.frame(end.1, *frame, &mut n.mirror, now);
+                let (news, orders) = n.relay.handle_frame(end.1, *frame, &mut n.mirror, now);
                 self.note_restored(end.0);
                 self.take_news(end.0, news);
                 self.carry_out(end.0, orders);
                 let n = &mut self.nodes[end.0];
-                let orders = n.relay.hand_down(&mut n.mirror, now);
+                let orders = n.relay.publish(&mut n.mirror, now);
                 self.carry_out(end.0, orders);
             }
             Event::Closed(end) => {
@@ -378,13 +378,13 @@
         self.nodes[node].is_up(self.now) && self.now < self.nodes[node].frozen_until
     }
 
-    pub fn take_news(&mut self, node: usize, news: Vec<News>) {
+    pub fn take_news(&mut self, node: usize, news: Vec<Update>) {
         let node = &mut self.nodes[node];
         for news in news {
             match news {
-                News::Entry(peer) => node.relay.learn(peer),
-                News::Joined(listed) => drop(node.uses.insert(listed.member.upstream)),
-                News::Retired(upstream) => drop(node.uses.remove(&upstream)),
+                Update::Entry(peer) => node.relay.learn(peer),
+                Update::Joined(listed) => drop(node.uses.insert(listed.member.upstream)),
+                Update::Retired(upstream) => drop(node.uses.remove(&upstream)),
                 _ => {}
             }
         }
@@ -466,7 +466,7 @@
         // What was waited for from another era is left, and the table read whole.
         let known = known.filter(|_| n.mirror.era() == self.store.era);
         let (page, whole) = self.store.page(table, known, now);
-        let heard = n.mirror.hear(table, &page, whole, since, now);
+        let heard = n.mirror.observe_era(table, &page, whole, since, now);
         assert_ne!(heard, Heard::Late);
         self.note_restored(node);
         let n = &mut self.nodes[node];
@@ -479,7 +479,7 @@
             answered: true,
             ..Poll::default()
         };
-        n.relay.reached(table, now);
+        n.relay.note_answer(table, now);
         let news = n.mirror.apply(table, page, whole, now);
         self.take_news(node, news);
         let n = &mut self.nodes[node];
@@ -489,16 +489,16 @@
                 n.polls[table as usize].pause_until = now + WAIT_OTHERS;
             }
         }
-        let orders = n.relay.hand_down(&mut n.mirror, now);
+        let orders = n.relay.publish(&mut n.mirror, now);
         self.carry_out(node, orders);
     }
 
     /// Begins all waits of an entry anew where it has just heard that the store was restored.
     pub fn note_restored(&mut self, node: usize) {
         let n = &mut self.nodes[node];
-        if n.mirror.restored().is_some() {
+        if n.mirror.take_restored().is_some() {
             n.polls = [Poll::default(); 4];
-            n.relay.begin_anew(self.now);
+            n.relay.invalidate(self.now);
         }
     }
 
@@ -528,9 +528,9 @@
             failures: 1,
             ..Poll::default()
         };
-        n.mirror.failed(table);
+        n.mirror.mark_failing(table);
         n.relay.listed(now);
-        n.relay.missed(table);
+        n.relay.note_failure(table);
     }
 
     pub fn tick(&mut self) {
