--- a/crates/bench/src/rollout.rs
+++ b/crates/bench/src/rollout.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use serde_json::{json, Value};
-use sorreldeck::entry::{Judge, Pool, Watch};
+use sorreldeck::entry::{Judge, Aggregate, Monitor};
 use sorreldeck::tree::Section;
 use sorreldeck::wire::Header;
 use sorreldeck::{Incarnation, Tree, VersionId};
@@ -328,8 +328,8 @@
     let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
     let mut alarms = 0;
     for _ in 0..options.good {
-        let mut watches = vec![Watch::new(judge); 3];
-        let mut pool = Pool::default();
+        let mut watches = vec![Monitor::new(judge); 3];
+        let mut pool = Aggregate::default();
         for watch in &mut watches {
             watch.set_entries(3);
         }
@@ -337,18 +337,18 @@
         for i in 0..ratings {
             let watch = &mut watches[i % 3];
             let good = rng.random::<f64>() < rollout.floor.fraction();
-            watch.answer(
+            watch.record_answer(
                 &tree,
                 &version,
                 rng.random::<f64>() < rollout.max_error.fraction(),
             );
-            watch.rate(&tree, &version, f64::from(u8::from(good)));
-            for (version, evidence) in watch.unsent() {
+            watch.record_rating(&tree, &version, f64::from(u8::from(good)));
+            for (version, evidence) in watch.take_unsent() {
                 let entry = Incarnation(i as u64 % 3);
                 let (sum, bad) = pool.merge(&tree, &version, entry, evidence);
-                watch.pooled(&version, sum, bad);
+                watch.merge_pooled(&version, sum, bad);
             }
-            alarm |= watch.suspects(&version);
+            alarm |= watch.is_suspect(&version);
         }
         alarms += usize::from(alarm);
     }
--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -4,7 +4,7 @@
 //! `cargo bench -p sorreldeck`
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use sorreldeck::entry::{Ask, Chat, Entry, Input, Output, Settings, What};
+use sorreldeck::entry::{Request, Chat, Entry, Input, Output, Settings, Payload};
 use sorreldeck::subset::{self, SIDES};
 use sorreldeck::tree::{hash_key, parse_toml, Tree};
 use sorreldeck::wire::{Frame, Load, Usage, Welcome};
@@ -74,18 +74,18 @@
 }
 
 fn decide(entry: &mut Entry, chat: &Chat, number: u64) {
-    let ask = Ask {
+    let ask = Request {
         request: RequestId::new(1, number),
         key: Some(format!("key-{}", number as usize % ACCOUNTS)),
         route: Some("r1".into()),
         class: None,
         session: None,
-        once: false,
-        idempotency: None,
-        what: What::Chat(Box::new(chat.clone())),
+        at_most_once: false,
+        idempotency_key: None,
+        payload: Payload::Chat(Box::new(chat.clone())),
     };
     let now = Time(number * 1000);
-    let outputs = entry.handle(now, Input::Ask(Box::new(ask)));
+    let outputs = entry.handle(now, Input::Request(Box::new(ask)));
     for output in outputs {
         let Output::Send(link, Frame::Start(start)) = output else {
             continue;
--- a/crates/core/src/entry/admit.rs
+++ b/crates/core/src/entry/admit.rs
@@ -7,7 +7,7 @@
 /// A request that was not taken in.
 struct Refused {
     failure: Failure,
-    done: Done,
+    done: Summary,
 }
 
 impl Refused {
@@ -18,13 +18,13 @@
         plain: bool,
         failure: Failure,
     ) -> Box<Refused> {
-        let done = Done {
+        let done = Summary {
             request,
             account,
             class,
             plain,
-            first: None,
-            whole: Span::default(),
+            first_byte: None,
+            duration: Span::default(),
             failure: Some(failure.reason),
         };
         Box::new(Refused { failure, done })
@@ -32,10 +32,10 @@
 }
 
 impl Entry {
-    pub(super) fn ask(&mut self, now: Time, ask: Ask, out: &mut Outputs) {
+    pub(super) fn ask(&mut self, now: Time, ask: Request, out: &mut Outputs) {
         let request = ask.request;
         self.history
-            .begin(request, self.tree.revision(), ask.what.name());
+            .begin(request, self.tree.revision(), ask.payload.name());
         let admitted = self.admit(now, ask);
         if let Ok((flight, _)) = &admitted {
             let fingerprint = Some(flight.fingerprint);
@@ -49,22 +49,22 @@
                 self.history
                     .note(request, |d| d.failure = Some(failure.clone()));
                 out.push(Output::Answer(request, Part::Fail(failure)));
-                out.push(Output::Ended(done));
+                out.push(Output::RequestEnded(done));
             }
         }
     }
 
     /// Finds what the request is to get, and takes it in if its client account
     /// and the limits allow.
-    fn admit(&mut self, now: Time, ask: Ask) -> Result<(Flight, Action), Box<Refused>> {
+    fn admit(&mut self, now: Time, ask: Request) -> Result<(Flight, Action), Box<Refused>> {
         let request = ask.request;
-        let plain = matches!(ask.what, What::Plain(_));
+        let plain = matches!(ask.payload, Payload::Plain(_));
         let refused = |failure| Refused::new(request, None, Class::default(), plain, failure);
         if self.leaving {
             let failure = Failure::not_run(Reason::Leaving, "this entry is about to stop");
             return Err(refused(failure.retry_after(Span::default())));
         }
-        if matches!(ask.what, What::Routed(_)) {
+        if matches!(ask.payload, Payload::Routed(_)) {
             return self.admit_routed(now, ask);
         }
         let caller = Caller {
@@ -92,10 +92,10 @@
     }
 
     /// Takes in a request that a route describes.
-    fn admit_routed(&mut self, now: Time, ask: Ask) -> Result<(Flight, Action), Box<Refused>> {
+    fn admit_routed(&mut self, now: Time, ask: Request) -> Result<(Flight, Action), Box<Refused>> {
         let request = ask.request;
         let refused = |failure| Refused::new(request, None, Class::default(), false, failure);
-        let What::Routed(routed) = &ask.what else {
+        let Payload::Routed(routed) = &ask.payload else {
             unreachable!("only routed requests come here");
         };
         let located = self.locate(routed, ask.key.as_deref());
@@ -105,7 +105,7 @@
             d.class = Some(site.class);
         });
         let timeout = terms.route.timeout;
-        let left = routed.left.map_or(timeout, |left| left.min(timeout));
+        let left = routed.time_left.map_or(timeout, |left| left.min(timeout));
         let once = !terms.route.may_repeat();
         let mut flight = Flight::new(ask, site, now, now + left);
         flight.goal = Goal::Routed;
@@ -114,21 +114,21 @@
         Ok((flight, Action::Route))
     }
 
-    pub(super) fn prepare(&self, now: Time, ask: Ask, site: Site) -> Result<Flight, Failure> {
-        let (goal, pool, once) = match &ask.what {
-            What::Chat(chat) => {
+    pub(super) fn prepare(&self, now: Time, ask: Request, site: Site) -> Result<Flight, Failure> {
+        let (goal, pool, once) = match &ask.payload {
+            Payload::Chat(chat) => {
                 let goal = route::target(&self.tree, &site, &chat.model)?;
                 (Goal::from(goal), None, false)
             }
-            What::Routed(_) => (Goal::Routed, None, false),
-            What::Plain(call) => {
+            Payload::Routed(_) => (Goal::Routed, None, false),
+            Payload::Plain(call) => {
                 let (pool, once) = self.service(&site, call)?;
                 (Goal::Service, Some(pool), once)
             }
         };
         let session = self.open_session(&ask, &site)?;
         let deadline = now + site.node.deadline();
-        let once = once || ask.once;
+        let once = once || ask.at_most_once;
         let mut flight = Flight::new(ask, site, now, deadline);
         flight.session = session;
         flight.goal = goal;
@@ -151,8 +151,8 @@
         Ok((name.clone(), !pool.may_repeat(&call.method)))
     }
 
-    pub(super) fn open_session(&self, ask: &Ask, site: &Site) -> Result<Option<Session>, Failure> {
-        let (Some(token), What::Chat(chat)) = (&ask.session, &ask.what) else {
+    pub(super) fn open_session(&self, ask: &Request, site: &Site) -> Result<Option<Session>, Failure> {
+        let (Some(token), Payload::Chat(chat)) = (&ask.session, &ask.payload) else {
             return Ok(None);
         };
         let bad = |message: &str| Failure::not_run(Reason::BadSession, message);
@@ -192,7 +192,7 @@
 
     pub(super) fn begin(&mut self, now: Time, flight: Flight, out: &mut Outputs) {
         let request = flight.ask.request;
-        let claim = match (&flight.ask.idempotency, flight.once) {
+        let claim = match (&flight.ask.idempotency_key, flight.once) {
             (Some(key), true) => Some(format!("claim/{}/{key}", flight.site.account)),
             _ => None,
         };
--- a/crates/core/src/entry/answer.rs
+++ b/crates/core/src/entry/answer.rs
@@ -68,7 +68,7 @@
                 evidence,
                 bad,
             } => {
-                if self.watch.pooled(&version, evidence, bad) {
+                if self.watch.merge_pooled(&version, evidence, bad) {
                     out.push(Output::Suspect(version));
                 }
             }
@@ -270,7 +270,7 @@
         self.note_answered(now, &flight);
         let failed = flight.late || flight.status >= 500;
         if let Some(version) = flight.version() {
-            if self.watch.answer(&self.tree, version, failed) {
+            if self.watch.record_answer(&self.tree, version, failed) {
                 out.push(Output::Suspect(version.clone()));
             }
         }
@@ -291,7 +291,7 @@
         }
         self.sample(&flight, finish.confidence, true, out);
         out.push(Output::Answer(flight.ask.request, Part::End));
-        out.push(Output::Ended(done(&flight, now, None)));
+        out.push(Output::RequestEnded(done(&flight, now, None)));
     }
 
     /// Accepts the answer of a cascade's step or asks the next one.
@@ -387,7 +387,7 @@
         let beyond = used as f64 - f64::from(expected);
         self.limits.ended(&flight.site.account, beyond);
         out.push(Output::Answer(request, Part::End));
-        out.push(Output::Ended(done(&flight, now, None)));
+        out.push(Output::RequestEnded(done(&flight, now, None)));
     }
 
     fn failed(&mut self, now: Time, run: Run, failure: Failure, out: &mut Outputs) {
@@ -403,7 +403,7 @@
         self.history.outcome(run.request, failure.to_string());
         let failed = [Reason::UpstreamFailed, Reason::UpstreamLost].contains(&failure.reason);
         if let Some(version) = version.filter(|_| failed) {
-            if self.watch.answer(&self.tree, &version, true) {
+            if self.watch.record_answer(&self.tree, &version, true) {
                 out.push(Output::Suspect(version));
             }
         }
@@ -542,7 +542,7 @@
         self.note_stay(now, &flight, LIFE);
         self.history
             .note(request, |d| d.failure = Some(failure.clone()));
-        out.push(Output::Ended(done(&flight, now, Some(failure.reason))));
+        out.push(Output::RequestEnded(done(&flight, now, Some(failure.reason))));
         out.push(Output::Answer(request, Part::Fail(failure)));
     }
 
@@ -564,7 +564,7 @@
     pub(super) fn link_down(&mut self, now: Time, link: Link, out: &mut Outputs) {
         self.peers.leave(link);
         self.held.unlink(link);
-        self.watch.resend();
+        self.watch.mark_unsent();
         let mut lost: Vec<RequestId> = self
             .flights
             .iter()
@@ -601,14 +601,14 @@
     GiveUp,
 }
 
-pub(super) fn done(flight: &Flight, now: Time, failure: Option<Reason>) -> Done {
-    Done {
+pub(super) fn done(flight: &Flight, now: Time, failure: Option<Reason>) -> Summary {
+    Summary {
         request: flight.ask.request,
         account: Some(flight.site.account.clone()),
         class: flight.site.class,
-        plain: matches!(flight.ask.what, What::Plain(_)),
-        first: flight.first.map(|t| t.since(flight.began)),
-        whole: now.since(flight.began),
+        plain: matches!(flight.ask.payload, Payload::Plain(_)),
+        first_byte: flight.first.map(|t| t.since(flight.began)),
+        duration: now.since(flight.began),
         failure,
     }
 }
--- a/crates/core/src/entry/ask.rs
+++ b/crates/core/src/entry/ask.rs
@@ -26,7 +26,7 @@
 
 /// A request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Request {
     /// Its identity.
     pub request: RequestId,
     /// The API key.
@@ -38,16 +38,16 @@
     /// The session token.
     pub session: Option<String>,
     /// Whether the caller forbids a second sending.
-    pub once: bool,
+    pub at_most_once: bool,
     /// The caller's name for the request.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
     /// What is asked.
-    pub what: What,
+    pub payload: Payload,
 }
 
 /// What is asked.
 #[derive(Clone, Debug)]
-pub enum What {
+pub enum Payload {
     /// A chat completion.
     Chat(Box<Chat>),
     /// A call of a plain service.
@@ -56,17 +56,17 @@
     Routed(Box<Routed>),
 }
 
-impl What {
+impl Payload {
     /// Returns what the request is known by when a client account sends it again.
     pub fn fingerprint(&self, account: &AccountId) -> Fingerprint {
         let account = account.as_str().as_bytes();
         match self {
-            What::Chat(chat) => {
+            Payload::Chat(chat) => {
                 let body = serde_json::to_vec(&chat.body).expect("a JSON map is always JSON");
                 Fingerprint::of(&[account, b"chat", &body])
             }
-            What::Plain(call) => call_fingerprint(account, "", call),
-            What::Routed(routed) => call_fingerprint(account, &routed.host, &routed.call),
+            Payload::Plain(call) => call_fingerprint(account, "", call),
+            Payload::Routed(routed) => call_fingerprint(account, &routed.host, &routed.call),
         }
     }
 }
--- a/crates/core/src/entry/decision.rs
+++ b/crates/core/src/entry/decision.rs
@@ -21,7 +21,7 @@
 
 /// One try of one step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Try {
+pub struct Attempt {
     /// The step of a cascade.
     pub step: u16,
     /// The version, or `None` for a plain service.
@@ -31,11 +31,11 @@
     /// The upstream.
     pub upstream: UpstreamId,
     /// What was known of the upstream when it was chosen.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub known: Option<Known>,
+    #[serde(default, rename = "known", skip_serializing_if = "Option::is_none")]
+    pub snapshot: Option<Snapshot>,
     /// What the run was expected to take there.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub due: Option<Due>,
+    #[serde(default, rename = "due", skip_serializing_if = "Option::is_none")]
+    pub forecast: Option<Forecast>,
     /// What came of it, empty while it runs.
     pub outcome: String,
 }
@@ -43,13 +43,13 @@
 /// What an entry knows of an upstream that it chooses.
 ///
 /// ```
-/// use sorreldeck::entry::Known;
+/// use sorreldeck::entry::Snapshot;
 ///
-/// let known = Known { running: 3, queued: 1, slots: 32, age_ms: 120, own: 2 };
-/// assert_eq!(known.to_string(), "3+1/32 120ms own=2");
+/// let snapshot = Snapshot { running: 3, queued: 1, slots: 32, age_ms: 120, own: 2 };
+/// assert_eq!(snapshot.to_string(), "3+1/32 120ms own=2");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct Snapshot {
     /// The requests that ran there by its latest report.
     pub running: u32,
     /// The requests that waited there.
@@ -65,13 +65,13 @@
 /// What a run was expected to take at an upstream.
 ///
 /// ```
-/// use sorreldeck::entry::Due;
+/// use sorreldeck::entry::Forecast;
 ///
-/// let due = Due { fresh: 3700, behind_ms: 40, first_ms: 210 };
-/// assert_eq!(due.to_string(), "fresh=3700 behind=40ms due=210ms");
+/// let forecast = Forecast { fresh: 3700, behind_ms: 40, first_ms: 210 };
+/// assert_eq!(forecast.to_string(), "fresh=3700 behind=40ms due=210ms");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Due {
+pub struct Forecast {
     /// The tokens of the prompt that were to be read.
     pub fresh: u32,
     /// The milliseconds put down to what was to be read there before.
@@ -80,9 +80,9 @@
     pub first_ms: u64,
 }
 
-impl fmt::Display for Due {
+impl fmt::Display for Forecast {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Due {
+        let Forecast {
             fresh,
             behind_ms,
             first_ms,
@@ -91,9 +91,9 @@
     }
 }
 
-impl fmt::Display for Known {
+impl fmt::Display for Snapshot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Known {
+        let Snapshot {
             running,
             queued,
             slots,
@@ -123,7 +123,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fingerprint: Option<Fingerprint>,
     /// The tries, in order.
-    pub tries: Vec<Try>,
+    #[serde(rename = "tries")]
+    pub attempts: Vec<Attempt>,
     /// Why there was no answer.
     pub failure: Option<Failure>,
 }
@@ -161,7 +162,7 @@
             class: None,
             asked,
             fingerprint: None,
-            tries: Vec::new(),
+            attempts: Vec::new(),
             failure: None,
         };
         self.decisions.insert(request, decision);
@@ -183,7 +184,7 @@
     /// Notes what came of the latest try.
     pub fn outcome(&mut self, request: RequestId, outcome: impl Into<String>) {
         self.note(request, |decision| {
-            if let Some(last) = decision.tries.last_mut() {
+            if let Some(last) = decision.attempts.last_mut() {
                 last.outcome = outcome.into();
             }
         });
--- a/crates/core/src/entry/dispatch.rs
+++ b/crates/core/src/entry/dispatch.rs
@@ -13,12 +13,12 @@
                 let (tree, watch) = (&self.tree, &self.watch);
                 let hold = self.settings.judge == Judge::Sequential;
                 let running = &self.running;
-                let suspect = |v: &VersionId| hold && watch.suspects(v);
+                let suspect = |v: &VersionId| hold && watch.is_suspect(v);
                 let session = flight.session.as_ref();
                 let fresh = session.is_none_or(|s| suspect(&s.version));
                 let over = |v: &VersionId| {
                     let in_flight = running.get(v).copied().unwrap_or(0);
-                    hold && fresh && !watch.allows_more(tree, v, in_flight)
+                    hold && fresh && !watch.admits(tree, v, in_flight)
                 };
                 let avoid = |v: &VersionId| suspect(v) || over(v);
                 route::version(tree, &flight.site, model, session, draw, avoid)?
@@ -48,7 +48,7 @@
         let usable = |v: &VersionId| {
             flight.site.node.allows_version(v)
                 && route::takes_work(&tree, v)
-                && !self.watch.suspects(v)
+                && !self.watch.is_suspect(v)
         };
         let steps = tree.cascade(name.as_str()).map_or(&[][..], |c| &c.steps);
         if let Some(session) = &flight.session {
@@ -200,21 +200,21 @@
             let moved = choice.why == Why::Moved(session.version.clone());
             let gone = !flight.site.node.allows_version(&session.version)
                 || !route::takes_work(&self.tree, &session.version)
-                || self.watch.suspects(&session.version);
+                || self.watch.is_suspect(&session.version);
             self.keep(Promise::Session, kept || (moved && gone))?;
         }
         Ok(())
     }
 
     pub(super) fn start_of(&self, now: Time, flight: &Flight) -> Start {
-        let call = match (&flight.ask.what, flight.version()) {
-            (What::Chat(chat), Some(version)) => {
+        let call = match (&flight.ask.payload, flight.version()) {
+            (Payload::Chat(chat), Some(version)) => {
                 let judged = flight.is_judged();
                 chat.call(version, chat.stream && !judged, judged)
             }
-            (What::Chat(_), None) => unreachable!("a chat is sent after its version is chosen"),
-            (What::Plain(call), _) => self.plain_call(call),
-            (What::Routed(routed), _) => routed.call.clone(),
+            (Payload::Chat(_), None) => unreachable!("a chat is sent after its version is chosen"),
+            (Payload::Plain(call), _) => self.plain_call(call),
+            (Payload::Routed(routed), _) => routed.call.clone(),
         };
         Start {
             run: flight.run,
@@ -265,16 +265,16 @@
             Some(peer) => peer.upstream.clone(),
             None => "none".parse().expect("a legal name"),
         };
-        let try_ = Try {
+        let try_ = Attempt {
             step: flight.run.step,
             version: flight.version().cloned(),
             why: flight.choice.as_ref().map(|c| c.why.clone()),
             upstream,
-            known: peer.map(|peer| peer.known(now)),
-            due: None,
+            snapshot: peer.map(|peer| peer.known(now)),
+            forecast: None,
             outcome,
         };
         self.history
-            .note(flight.ask.request, |d| d.tries.push(try_));
+            .note(flight.ask.request, |d| d.attempts.push(try_));
     }
 }
--- a/crates/core/src/entry/early.rs
+++ b/crates/core/src/entry/early.rs
@@ -17,15 +17,15 @@
 /// A request that waits.
 #[derive(Debug)]
 pub(super) struct Early {
-    ask: Ask,
+    ask: Request,
     since: Time,
 }
 
 impl Early {
     /// Returns the request with the time left that its caller still waits.
-    fn after(mut self, waited: Span) -> Ask {
-        if let What::Routed(routed) = &mut self.ask.what {
-            routed.left = routed.left.map(|left| left - waited);
+    fn after(mut self, waited: Span) -> Request {
+        if let Payload::Routed(routed) = &mut self.ask.payload {
+            routed.time_left = routed.time_left.map(|left| left - waited);
         }
         self.ask
     }
@@ -33,8 +33,8 @@
 
 impl Entry {
     /// Returns whether a request is to wait for what is not known yet.
-    fn is_early(&self, ask: &Ask) -> bool {
-        let routed = matches!(ask.what, What::Routed(_));
+    fn is_early(&self, ask: &Request) -> bool {
+        let routed = matches!(ask.payload, Payload::Routed(_));
         routed && !self.leaving && !self.knows_enough() && self.early.len() < MOST
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Takes a request in, or keeps it for when enough is known.
-    pub(super) fn ask_or_wait(&mut self, now: Time, ask: Ask, out: &mut Outputs) {
+    pub(super) fn ask_or_wait(&mut self, now: Time, ask: Request, out: &mut Outputs) {
         match self.is_early(&ask) {
             true => self.early.push(Early { ask, since: now }),
             false => self.ask(now, ask, out),
@@ -78,13 +78,13 @@
         let Some(early) = place.map(|place| self.early.swap_remove(place)) else {
             return false;
         };
-        out.push(Output::Ended(Done {
+        out.push(Output::RequestEnded(Summary {
             request,
             account: None,
             class: Class::default(),
             plain: false,
-            first: None,
-            whole: now.since(early.since),
+            first_byte: None,
+            duration: now.since(early.since),
             failure: Some(Reason::Cancelled),
         }));
         true
--- a/crates/core/src/entry/flight.rs
+++ b/crates/core/src/entry/flight.rs
@@ -1,6 +1,6 @@
 //! A request under way at an entry.
 
-use crate::entry::ask::{Ask, Chat, What};
+use crate::entry::ask::{Request, Chat, Payload};
 use crate::entry::routed::Terms;
 use crate::failure::Failure;
 use crate::id::*;
@@ -15,7 +15,7 @@
 /// A request under way.
 #[derive(Debug)]
 pub(super) struct Flight {
-    pub ask: Ask,
+    pub ask: Request,
     pub site: Site,
     /// By which the request is known when it comes again.
     pub fingerprint: Fingerprint,
@@ -80,10 +80,10 @@
 
 impl Flight {
     /// Creates the flight of a request that has gone nowhere yet.
-    pub fn new(ask: Ask, site: Site, began: Time, deadline: Time) -> Flight {
+    pub fn new(ask: Request, site: Site, began: Time, deadline: Time) -> Flight {
         Flight {
             run: Run::first(ask.request),
-            fingerprint: ask.what.fingerprint(&site.account),
+            fingerprint: ask.payload.fingerprint(&site.account),
             ask,
             site,
             session: None,
@@ -114,9 +114,9 @@
     }
 
     pub fn chat(&self) -> Option<&Chat> {
-        match &self.ask.what {
-            What::Chat(chat) => Some(chat),
-            What::Plain(_) | What::Routed(_) => None,
+        match &self.ask.payload {
+            Payload::Chat(chat) => Some(chat),
+            Payload::Plain(_) | Payload::Routed(_) => None,
         }
     }
 
@@ -130,27 +130,27 @@
     }
 
     pub fn prompt_tokens(&self) -> u32 {
-        match &self.ask.what {
-            What::Chat(chat) => chat.prompt_tokens,
-            What::Plain(_) => 0,
-            What::Routed(routed) => routed.tokens,
+        match &self.ask.payload {
+            Payload::Chat(chat) => chat.prompt_tokens,
+            Payload::Plain(_) => 0,
+            Payload::Routed(routed) => routed.tokens,
         }
     }
 
     /// Returns the beginnings of the prompt that may be cached.
     pub fn chain(&self) -> &[Prefix] {
-        match (&self.ask.what, &self.terms) {
-            (What::Chat(chat), _) => chat.prefix.as_slice(),
-            (What::Plain(_), _) => &[],
-            (What::Routed(_), Some(terms)) => &terms.chain,
-            (What::Routed(routed), None) => &routed.chain,
+        match (&self.ask.payload, &self.terms) {
+            (Payload::Chat(chat), _) => chat.prefix.as_slice(),
+            (Payload::Plain(_), _) => &[],
+            (Payload::Routed(_), Some(terms)) => &terms.chain,
+            (Payload::Routed(routed), None) => &routed.prefixes,
         }
     }
 
     /// Names the beginnings of the prompt for the present model: what one model has
     /// read is nothing to another.
     pub fn name_chain(&mut self) {
-        let (What::Routed(routed), Some(terms)) = (&self.ask.what, &mut self.terms) else {
+        let (Payload::Routed(routed), Some(terms)) = (&self.ask.payload, &mut self.terms) else {
             return;
         };
         let size = terms.size as u32;
@@ -158,7 +158,7 @@
             hash: p.hash.rotate_left(size) ^ u64::from(size),
             tokens: p.tokens,
         };
-        terms.chain = routed.chain.iter().map(named).collect();
+        terms.chain = routed.prefixes.iter().map(named).collect();
     }
 
     /// Returns the longest beginning of the prompt that other requests share: all
--- a/crates/core/src/entry/guard.rs
+++ b/crates/core/src/entry/guard.rs
@@ -114,9 +114,9 @@
                     log::info!("event=quarantine-lifted fingerprint={fingerprint} by=answer");
                 }
             }
-            out.push(Output::Quarantine(news));
+            out.push(Output::RecordQuarantine(news));
         }
-        out.extend(self.quarantine.words().into_iter().map(Output::Word));
+        out.extend(self.quarantine.words().into_iter().map(Output::QuarantineReport));
     }
 
     /// Ends the runs of a request that is held back and that have not begun to answer, before
--- a/crates/core/src/entry/learn.rs
+++ b/crates/core/src/entry/learn.rs
@@ -46,14 +46,14 @@
             class: flight.site.class,
             cascade,
             confidence: confidence.map(|c| c.0),
-            given,
+            delivered: given,
             answer: flight.text.clone(),
         }));
     }
 
     pub(super) fn rated(&mut self, rating: Rating, out: &mut Outputs) {
         let Rating { sample, score } = rating;
-        if self.watch.rate(&self.tree, &sample.version, score) {
+        if self.watch.record_rating(&self.tree, &sample.version, score) {
             out.push(Output::Suspect(sample.version.clone()));
         }
         let Some((name, step)) = sample.cascade else {
@@ -73,7 +73,7 @@
                 policy.rate_dear(score);
             }
         }
-        if sample.given {
+        if sample.delivered {
             for earlier in 0..=step {
                 if let Some(policy) = self.policy_mut(&name, earlier, sample.class) {
                     policy.rate_given(score);
@@ -128,7 +128,7 @@
         self.reported = now;
         if now.since(self.resent) >= RESEND_EVERY {
             self.resent = now;
-            self.watch.resend();
+            self.watch.mark_unsent();
         }
         self.report_demand(now, out);
         self.report_evidence(out);
@@ -149,7 +149,7 @@
     }
 
     fn report_evidence(&mut self, out: &mut Outputs) {
-        for (version, evidence) in self.watch.unsent() {
+        for (version, evidence) in self.watch.take_unsent() {
             let Some(home) = self.home(version.as_str()) else {
                 continue;
             };
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -24,10 +24,10 @@
 mod routed;
 mod watch;
 
-pub use ask::{Ask, Chat, Part, What};
-pub use decision::{Decision, Due, History, Known, Try};
-pub use routed::{Head, Member, Reply, Routed, ACCEPTED};
-pub use watch::{bar, rollout_of, Judge, Pool, Watch};
+pub use ask::{Request, Chat, Part, Payload};
+pub use decision::{Decision, Forecast, History, Snapshot, Attempt};
+pub use routed::{Head, Member, Reply, Routed, CONFIDENCE_THRESHOLDS};
+pub use watch::{thresholds, rollout_of, Judge, Aggregate, Monitor};
 
 use crate::bill::Record;
 use crate::cascade;
@@ -92,9 +92,9 @@
     pub exposure: Share,
     /// From what confidence the answer of a smaller model is given, by the rank
     /// of the route.
-    pub accepted: [Share; 3],
+    pub confidence_thresholds: [Share; 3],
     /// Whether it is told which client accounts' requests begin to run.
-    pub counts: bool,
+    pub reports_starts: bool,
 }
 
 impl Settings {
@@ -112,8 +112,8 @@
             hall: None,
             retries: retry::ALLOWANCE,
             exposure: release::EXPOSURE,
-            accepted: routed::ACCEPTED,
-            counts: false,
+            confidence_thresholds: routed::CONFIDENCE_THRESHOLDS,
+            reports_starts: false,
         }
     }
 }
@@ -122,9 +122,9 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A caller asks.
-    Ask(Box<Ask>),
+    Request(Box<Request>),
     /// A caller went away.
-    Gone(RequestId),
+    Disconnected(RequestId),
     /// A frame came in.
     Frame(Link, Frame),
     /// A link broke or was closed.
@@ -140,20 +140,20 @@
     /// A move to another release, and what is recorded of it.
     Move(release::Order, Option<release::State>, Option<Time>),
     /// What the other entries of a data hall tell of a move.
-    Told(PoolId, Hall, release::Report),
+    ReleaseReport(PoolId, Hall, release::Report),
     /// Another entry sent an upstream, which a number stands for, a prompt that takes this
     /// long to be read.
-    Reads(u64, Span),
+    Prefill(u64, Span),
     /// Another entry serves a session at a release.
-    Stays(release::Stay),
+    Affinity(release::Stay),
     /// Another entry tells of requests and the upstreams that crashed under them.
-    Word(quarantine::Word),
+    QuarantineReport(quarantine::Word),
     /// Another entry tells what an upstream said of itself.
     Notice(notice::Word),
     /// It is recorded that a request is held back.
-    Held(Fingerprint, quarantine::Hold),
+    Quarantined(Fingerprint, quarantine::Hold),
     /// The record of a request that is held back is gone.
-    Forgotten(Fingerprint),
+    QuarantineRemoved(Fingerprint),
     /// The entries that take requests and share the limits, with or without this one.
     Entries(Vec<InstanceId>),
     /// The data halls that are ordered to be empty, apart from the configuration.
@@ -173,7 +173,7 @@
     /// The machine was suspended: what is known may be that much older.
     Suspended,
     /// What is known has been heard anew since.
-    Informed,
+    Resynced,
     /// The process is to stop when its work is done.
     Leave,
 }
@@ -201,7 +201,7 @@
     /// How sure the model was.
     pub confidence: Option<f64>,
     /// Whether the caller got this answer.
-    pub given: bool,
+    pub delivered: bool,
     /// The answer as the engine sent it.
     pub answer: Vec<u8>,
 }
@@ -229,24 +229,24 @@
     Suspect(VersionId),
     /// Tell other entries that an upstream, which a number stands for, has a prompt to read
     /// that takes this long.
-    Reads(u64, Span),
+    Prefill(u64, Span),
     /// Tell other entries that a session stays at a release.
-    Stays(release::Stay),
+    Affinity(release::Stay),
     /// Tell other entries of requests and the upstreams that crashed under them.
-    Word(quarantine::Word),
+    QuarantineReport(quarantine::Word),
     /// Tell other entries what an upstream said of itself.
     Notice(notice::Word),
     /// A request of a client account began to run.
-    Began(AccountId),
+    RequestStarted(AccountId),
     /// Record that a request is held back, or that it is not any more.
-    Quarantine(quarantine::News),
+    RecordQuarantine(quarantine::News),
     /// A request has ended, for the histograms.
-    Ended(Done),
+    RequestEnded(Summary),
 }
 
 /// A request that has ended.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct Summary {
     /// The request.
     pub request: RequestId,
     /// The client account, or `None` if it was not found.
@@ -256,9 +256,9 @@
     /// Whether it was a call of a plain service.
     pub plain: bool,
     /// The time from the request to the first part of the answer.
-    pub first: Option<Span>,
+    pub first_byte: Option<Span>,
     /// The time from the request to its end.
-    pub whole: Span,
+    pub duration: Span,
     /// Why there was no whole answer.
     pub failure: Option<Reason>,
 }
@@ -277,7 +277,7 @@
     limits: Limits,
     /// What may be sent once more, by pool.
     budgets: HashMap<PoolId, Budget>,
-    watch: Watch,
+    watch: Monitor,
     cascades: HashMap<(CascadeId, usize, Class), cascade::Policy>,
     releases: Releases,
     strains: Strains,
@@ -303,7 +303,7 @@
 impl Entry {
     /// Creates an entry without a configuration.
     pub fn new(settings: Settings) -> Entry {
-        let watch = Watch::new(settings.judge);
+        let watch = Monitor::new(settings.judge);
         Entry {
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
             held: Held::new(settings.incarnation),
@@ -338,8 +338,8 @@
     pub fn handle(&mut self, now: Time, input: Input) -> Outputs {
         let mut out = Vec::new();
         match input {
-            Input::Ask(ask) => self.ask_or_wait(now, *ask, &mut out),
-            Input::Gone(request) => self.gone(now, request, &mut out),
+            Input::Request(ask) => self.ask_or_wait(now, *ask, &mut out),
+            Input::Disconnected(request) => self.gone(now, request, &mut out),
             Input::Frame(link, frame) => self.frame(now, link, frame, &mut out),
             Input::LinkDown(link) => self.link_down(now, link, &mut out),
             Input::Tree(tree) => self.adopt(now, tree, &mut out),
@@ -347,17 +347,17 @@
             Input::Retire(link) => self.peers.retire(link),
             Input::Reply(link, run, reply) => self.reply(now, link, run, reply, &mut out),
             Input::Move(order, state, began) => self.releases.order(order, state, began),
-            Input::Told(pool, hall, report) => {
+            Input::ReleaseReport(pool, hall, report) => {
                 if self.releases.told(&pool, hall, report) {
                     log::warn!("event=release-bad pool={pool} by=others");
                 }
             }
-            Input::Reads(number, reading) => self.peers.told(number, reading, now),
-            Input::Stays(stay) => self.releases.stayed(stay, now),
-            Input::Word(word) => self.take_word(now, word),
+            Input::Prefill(number, reading) => self.peers.told(number, reading, now),
+            Input::Affinity(stay) => self.releases.stayed(stay, now),
+            Input::QuarantineReport(word) => self.take_word(now, word),
             Input::Notice(word) => self.peers.heard_of(word, now),
-            Input::Held(fingerprint, hold) => self.quarantine.recorded(fingerprint, hold, now),
-            Input::Forgotten(fingerprint) => self.quarantine.forgotten(fingerprint),
+            Input::Quarantined(fingerprint, hold) => self.quarantine.recorded(fingerprint, hold, now),
+            Input::QuarantineRemoved(fingerprint) => self.quarantine.forgotten(fingerprint),
             Input::Entries(entries) => self.set_entries(&entries, now),
             Input::Evacuate(halls) => self.evacuate(now, halls),
             Input::Cold(link, left) => self.peers.cool(link, left, now),
@@ -367,12 +367,12 @@
             Input::NotWritten(batch) => self.held.not_written(batch, now),
             Input::Tick => self.tick(now, &mut out),
             Input::Suspended => self.suspended = true,
-            Input::Informed => self.suspended = false,
+            Input::Resynced => self.suspended = false,
             Input::Leave => self.leaving = true,
         }
         self.tell_of_quarantine(now, &mut out);
         out.extend(self.peers.words().into_iter().map(Output::Notice));
-        out.extend(self.releases.stays(now).into_iter().map(Output::Stays));
+        out.extend(self.releases.stays(now).into_iter().map(Output::Affinity));
         out
     }
 
@@ -382,7 +382,7 @@
     }
 
     /// Notes that the process ends; returns whether no request was cut.
-    pub fn stopped(&mut self) -> bool {
+    pub fn record_stop(&mut self) -> bool {
         let idle = self.is_idle();
         self.promises.check(Promise::PlannedStop, idle)
     }
@@ -415,12 +415,12 @@
 
     /// Returns what is known about how good versions are, for the controller
     /// of roll-outs.
-    pub fn watch(&mut self) -> &mut Watch {
+    pub fn monitor(&mut self) -> &mut Monitor {
         &mut self.watch
     }
 
     /// Returns how many requests are held back, since they crash upstreams.
-    pub fn held_back(&self, now: Time) -> usize {
+    pub fn quarantined(&self, now: Time) -> usize {
         self.quarantine.held(now)
     }
 
@@ -464,7 +464,7 @@
         self.tree = tree;
         let change = self.peers.configure(&self.tree, now);
         self.tell_of_halls(&change);
-        self.watch.adopt(&self.tree);
+        self.watch.retain_watched(&self.tree);
         let revision = self.tree.revision();
         for (link, _) in self.peers.iter() {
             out.push(Output::Send(link, Frame::Revision(revision)));
@@ -529,8 +529,8 @@
     /// # Errors
     ///
     /// Fails with the failure that the caller would get.
-    pub fn explain(&mut self, now: Time, site: Site, ask: Ask) -> Result<Decision, Failure> {
-        let asked = ask.what.name();
+    pub fn explain(&mut self, now: Time, site: Site, ask: Request) -> Result<Decision, Failure> {
+        let asked = ask.payload.name();
         let request = ask.request;
         let mut flight = self.prepare(now, ask, site)?;
         self.choose(&mut flight)?;
@@ -570,13 +570,13 @@
     }
 }
 
-impl What {
+impl Payload {
     /// Returns the model or path asked for.
     pub fn name(&self) -> String {
         match self {
-            What::Chat(chat) => chat.model.clone(),
-            What::Plain(call) => format!("{} {}", call.method, call.path),
-            What::Routed(routed) => format!("{} {}", routed.call.method, routed.call.path),
+            Payload::Chat(chat) => chat.model.clone(),
+            Payload::Plain(call) => format!("{} {}", call.method, call.path),
+            Payload::Routed(routed) => format!("{} {}", routed.call.method, routed.call.path),
         }
     }
 }
--- a/crates/core/src/entry/routed/mod.rs
+++ b/crates/core/src/entry/routed/mod.rs
@@ -22,7 +22,7 @@
 /// the route, where the settings say nothing. The largest model holds an upstream for
 /// ten times as long as the smallest, so what earns less for its length is asked again
 /// less often. Measured on days of four sites (docs/MEASUREMENTS.md, *model choice*).
-pub const ACCEPTED: [Share; 3] = [Share::HALF, Share::percent(40), Share::percent(30)];
+pub const CONFIDENCE_THRESHOLDS: [Share; 3] = [Share::HALF, Share::percent(40), Share::percent(30)];
 /// How long a caller is told to stay away when upstreams are full.
 pub(super) const COME_BACK: Span = Span::from_millis(500);
 
@@ -36,17 +36,17 @@
     /// The call, with the headers that are passed on.
     pub call: Call,
     /// How long the caller waits, if it says so.
-    pub left: Option<Span>,
+    pub time_left: Option<Span>,
     /// Whether the caller leaves the choice of the model to the route.
     pub any_model: bool,
     /// The tokens of the prompt.
     pub tokens: u32,
     /// The beginnings of the prompt that may be cached, the shortest first.
-    pub chain: Vec<Prefix>,
+    pub prefixes: Vec<Prefix>,
     /// What the session is known by.
     pub session: Option<u64>,
     /// Whether the caller goes on with a stream that broke off.
-    pub resumes: bool,
+    pub is_resumption: bool,
 }
 
 /// What a route means for one request.
@@ -91,8 +91,8 @@
 
 impl Outlook {
     /// Returns what was expected, for the record of a decision.
-    pub fn due(&self) -> Due {
-        Due {
+    pub fn due(&self) -> Forecast {
+        Forecast {
             fresh: self.fresh,
             behind_ms: self.behind.millis(),
             first_ms: self.first().millis(),
@@ -156,7 +156,7 @@
         /// The bytes.
         data: Vec<u8>,
         /// The number of the last event among them.
-        last: Option<u64>,
+        last_event: Option<u64>,
     },
     /// The answer is whole.
     End,
@@ -252,8 +252,8 @@
     }
 
     pub(super) fn routed(&self) -> Option<&Routed> {
-        match &self.ask.what {
-            What::Routed(routed) => Some(routed),
+        match &self.ask.payload {
+            Payload::Routed(routed) => Some(routed),
             _ => None,
         }
     }
--- a/crates/core/src/entry/routed/reply.rs
+++ b/crates/core/src/entry/routed/reply.rs
@@ -37,7 +37,7 @@
                 self.routed_head(now, link, run, head, out);
             }
             Reply::Notice(notice, load) => self.hear(link, notice, load, Time::default(), now),
-            Reply::Data { data, last } => self.routed_data(run, data, last, out),
+            Reply::Data { data, last_event: last } => self.routed_data(run, data, last, out),
             Reply::End => self.routed_end(now, link, run, out),
             Reply::Fail(failure) => self.routed_fail(now, link, run, failure, out),
         }
@@ -128,13 +128,13 @@
 
     /// Tells that a request of a client account began to run, once however often it does.
     fn note_began(&mut self, run: Run, out: &mut Outputs) {
-        let counts = self.settings.counts;
+        let counts = self.settings.reports_starts;
         let Some(flight) = self.flight(run).filter(|_| counts) else {
             return;
         };
         let is_first = flight.verdict != Verdict::Ran;
         if is_first && flight.site.node.account.is_some() {
-            out.push(Output::Began(flight.site.account.clone()));
+            out.push(Output::RequestStarted(flight.site.account.clone()));
         }
     }
 
@@ -205,7 +205,7 @@
 
     /// Returns the confidence from which a smaller model's answer is given.
     fn accepted(&self, route: &Route) -> f64 {
-        let ranks = &self.settings.accepted;
+        let ranks = &self.settings.confidence_thresholds;
         let rank = usize::from(route.rank).min(ranks.len() - 1);
         ranks[rank].fraction()
     }
@@ -301,7 +301,7 @@
         self.note_answered(now, &flight);
         self.note_stay(now, &flight, LIFE);
         out.push(Output::Answer(run.request, Part::End));
-        out.push(Output::Ended(answer::done(&flight, now, None)));
+        out.push(Output::RequestEnded(answer::done(&flight, now, None)));
     }
 
     fn routed_fail(
--- a/crates/core/src/entry/routed/send.rs
+++ b/crates/core/src/entry/routed/send.rs
@@ -98,11 +98,11 @@
         self.peers.reads(chosen.link, outlook.reading);
         if outlook.reading >= TELL_FROM {
             let number = self.peers.get(chosen.link).map(Peer::number);
-            out.extend(number.map(|number| Output::Reads(number, outlook.reading)));
+            out.extend(number.map(|number| Output::Prefill(number, outlook.reading)));
         }
         self.history.note(flight.ask.request, |decision| {
-            if let Some(last) = decision.tries.last_mut() {
-                last.due = Some(outlook.due());
+            if let Some(last) = decision.attempts.last_mut() {
+                last.forecast = Some(outlook.due());
             }
         });
         if let Some(terms) = &mut flight.terms {
@@ -198,7 +198,7 @@
         /// The last rank that engines know.
         const LAST: u8 = 9;
         let account = self.site.node.rank.unwrap_or(0);
-        let resumes = self.routed().is_some_and(|r| r.resumes);
+        let resumes = self.routed().is_some_and(|r| r.is_resumption);
         let route = self.terms.as_ref().map_or(0, |t| t.route.rank);
         account
             .saturating_add(u8::from(resumes))
--- a/crates/core/src/entry/watch.rs
+++ b/crates/core/src/entry/watch.rs
@@ -5,10 +5,10 @@
 //! either says that the version is bad; the record in the tree follows.
 //!
 //! ```
-//! use sorreldeck::entry::Watch;
+//! use sorreldeck::entry::Monitor;
 //!
-//! let watch = Watch::default();
-//! assert!(!watch.suspects(&"scribe-2".parse()?));
+//! let monitor = Monitor::default();
+//! assert!(!monitor.is_suspect(&"scribe-2".parse()?));
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
@@ -74,7 +74,7 @@
 
 /// What an entry knows about how good versions are.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct Monitor {
     versions: BTreeMap<VersionId, Known>,
     stages: BTreeMap<RolloutId, Stage>,
     entries: usize,
@@ -90,7 +90,7 @@
 }
 
 /// Returns what tells a good version of a roll-out from a bad one.
-pub fn bar(rollout: &Rollout) -> Bar {
+pub fn thresholds(rollout: &Rollout) -> Bar {
     Bar {
         floor: rollout.floor.fraction(),
         bad: rollout.bad.fraction(),
@@ -112,12 +112,12 @@
         .is_some_and(|(name, _)| tree.record(name).is_none_or(|p| p.phase == Phase::Watching))
 }
 
-impl Watch {
+impl Monitor {
     /// Creates a watch that has seen nothing.
-    pub fn new(judge: Judge) -> Watch {
-        Watch {
+    pub fn new(judge: Judge) -> Monitor {
+        Monitor {
             judge,
-            ..Watch::default()
+            ..Monitor::default()
         }
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether the version gets no new work from this entry.
-    pub fn suspects(&self, version: &VersionId) -> bool {
+    pub fn is_suspect(&self, version: &VersionId) -> bool {
         let known = self.versions.get(version);
         self.judge == Judge::Sequential
             && known.is_some_and(|known| known.told_bad || known.detector.is_bad())
@@ -136,7 +136,7 @@
     /// Returns whether a version on trial may get another new session.
     ///
     /// `in_flight` is the number of requests of this entry that run on it.
-    pub fn allows_more(&self, tree: &Tree, version: &VersionId, in_flight: u64) -> bool {
+    pub fn admits(&self, tree: &Tree, version: &VersionId, in_flight: u64) -> bool {
         if !is_on_trial(tree, version) {
             return true;
         }
@@ -151,12 +151,12 @@
     }
 
     /// Counts an answer; returns whether the version has just become suspect.
-    pub fn answer(&mut self, tree: &Tree, version: &VersionId, failed: bool) -> bool {
+    pub fn record_answer(&mut self, tree: &Tree, version: &VersionId, failed: bool) -> bool {
         self.learn(tree, version, |evidence, bar| evidence.answer(failed, bar))
     }
 
     /// Counts a rating; returns whether the version has just become suspect.
-    pub fn rate(&mut self, tree: &Tree, version: &VersionId, rating: f64) -> bool {
+    pub fn record_rating(&mut self, tree: &Tree, version: &VersionId, rating: f64) -> bool {
         self.learn(tree, version, |evidence, bar| evidence.rate(rating, bar))
     }
 
@@ -169,30 +169,30 @@
         let Some((_, rollout)) = rollout_of(tree, version) else {
             return false;
         };
-        let mut bar = bar(rollout);
-        let before = self.suspects(version);
+        let mut bar = thresholds(rollout);
+        let before = self.is_suspect(version);
         let entries = self.entries.max(1);
         let known = self.versions.entry(version.clone()).or_default();
         count(&mut known.own, &bar);
         bar.false_alarm *= (1.0 - HOME_PART) / entries as f64;
         known.detector.update(&known.own, &bar);
-        !before && self.suspects(version)
+        !before && self.is_suspect(version)
     }
 
     /// Takes in what the home pooled; returns whether the version has just
     /// become suspect.
-    pub fn pooled(&mut self, version: &VersionId, evidence: Evidence, bad: bool) -> bool {
-        let before = self.suspects(version);
+    pub fn merge_pooled(&mut self, version: &VersionId, evidence: Evidence, bad: bool) -> bool {
+        let before = self.is_suspect(version);
         let known = self.versions.entry(version.clone()).or_default();
         if evidence.answers + evidence.ratings >= known.pooled.answers + known.pooled.ratings {
             known.pooled = evidence;
         }
         known.told_bad |= bad;
-        !before && self.suspects(version)
+        !before && self.is_suspect(version)
     }
 
     /// Returns the evidence that has grown since it was sent last.
-    pub fn unsent(&mut self) -> Vec<(VersionId, Evidence)> {
+    pub fn take_unsent(&mut self) -> Vec<(VersionId, Evidence)> {
         let mut unsent = Vec::new();
         for (version, known) in &mut self.versions {
             let size = known.own.answers + known.own.ratings;
@@ -205,14 +205,14 @@
     }
 
     /// Makes all evidence be sent again, to a home that may not have it.
-    pub fn resend(&mut self) {
+    pub fn mark_unsent(&mut self) {
         for known in self.versions.values_mut() {
             known.sent = 0;
         }
     }
 
     /// Forgets versions that no roll-out watches any more.
-    pub fn adopt(&mut self, tree: &Tree) {
+    pub fn retain_watched(&mut self, tree: &Tree) {
         self.versions
             .retain(|version, _| rollout_of(tree, version).is_some());
         self.stages.retain(|name, _| tree.rollout(name).is_some());
@@ -234,7 +234,7 @@
                 fence,
             })
         };
-        if phase != Phase::Held && self.suspects(&rollout.to) {
+        if phase != Phase::Held && self.is_suspect(&rollout.to) {
             return progress(stage, Phase::Held);
         }
         if rollout.intent != Intent::Running || phase != Phase::Watching {
@@ -275,7 +275,7 @@
 
 /// The evidence that a home pools for all entries.
 #[derive(Clone, Debug, Default)]
-pub struct Pool {
+pub struct Aggregate {
     versions: BTreeMap<VersionId, Pooled>,
 }
 
@@ -285,7 +285,7 @@
     detector: Detector,
 }
 
-impl Pool {
+impl Aggregate {
     /// Takes in an entry's evidence; returns the sum and whether it is bad.
     pub fn merge(
         &mut self,
@@ -297,7 +297,7 @@
         let Some((_, rollout)) = rollout_of(tree, version) else {
             return (evidence, false);
         };
-        let mut bar = bar(rollout);
+        let mut bar = thresholds(rollout);
         bar.false_alarm *= HOME_PART;
         let pooled = self.versions.entry(version.clone()).or_default();
         pooled.by_entry.insert(entry, evidence);
@@ -310,7 +310,7 @@
     }
 
     /// Forgets versions that no roll-out watches any more.
-    pub fn adopt(&mut self, tree: &Tree) {
+    pub fn retain_watched(&mut self, tree: &Tree) {
         self.versions
             .retain(|version, _| rollout_of(tree, version).is_some());
     }
--- a/crates/core/src/pick/peer.rs
+++ b/crates/core/src/pick/peer.rs
@@ -4,7 +4,7 @@
 use super::pace::{Pace, Told};
 use super::{Place, Prefix, Wish};
 use crate::digest::mix;
-use crate::entry::Known;
+use crate::entry::Snapshot;
 use crate::id::UpstreamId;
 use crate::subset;
 use crate::tree::Warmup;
@@ -159,8 +159,8 @@
     }
 
     /// Returns what is known of the upstream, for the record of a decision.
-    pub fn known(&self, now: Time) -> Known {
-        Known {
+    pub fn known(&self, now: Time) -> Snapshot {
+        Snapshot {
             running: self.load.running,
             queued: self.load.queued,
             slots: self.load.slots,
--- a/crates/core/src/sidecar.rs
+++ b/crates/core/src/sidecar.rs
@@ -23,7 +23,7 @@
 //! ```
 
 use crate::bill::Record;
-use crate::entry::Pool;
+use crate::entry::Aggregate;
 use crate::evidence::Evidence;
 use crate::failure::{Failure, Reason};
 use crate::header;
@@ -160,7 +160,7 @@
     links: BTreeSet<Link>,
     held: Held,
     allocator: Allocator,
-    pool: Pool,
+    pool: Aggregate,
     /// What entries told of requests under which upstreams crashed.
     told: Told,
     /// Until when the upstream wants no requests.
@@ -206,7 +206,7 @@
             runs: HashMap::new(),
             links: BTreeSet::new(),
             allocator: Allocator::default(),
-            pool: Pool::default(),
+            pool: Aggregate::default(),
             told: Told::default(),
             rests_until: Time::default(),
             leaving: false,
@@ -720,7 +720,7 @@
             return;
         }
         self.tree = tree;
-        self.pool.adopt(&self.tree);
+        self.pool.retain_watched(&self.tree);
         let tree = &self.tree;
         let gone = self.queue.sweep(now, |waiting| {
             let version = waiting.start.version.as_ref();
--- a/crates/core/tests/common/own.rs
+++ b/crates/core/tests/common/own.rs
@@ -1,6 +1,6 @@
 //! Entries and sidecars of the own interface, before one plain service.
 
-use sorreldeck::entry::{Ask, Entry, Input, What};
+use sorreldeck::entry::{Request, Entry, Input, Payload};
 use sorreldeck::sidecar::{Settings, Sidecar};
 use sorreldeck::wire::Call;
 use sorreldeck::{Incarnation, RequestId, Time};
@@ -50,14 +50,14 @@
 
 /// Returns what asks an entry for a call; `once` says that it may run once.
 pub fn ask(number: u64, path: &str, once: bool) -> Input {
-    Input::Ask(Box::new(Ask {
+    Input::Request(Box::new(Request {
         request: RequestId::new(1, number),
         key: Some("key".into()),
         route: None,
         class: None,
         session: None,
-        once,
-        idempotency: None,
-        what: What::Plain(call(path)),
+        at_most_once: once,
+        idempotency_key: None,
+        payload: Payload::Plain(call(path)),
     }))
 }
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -187,7 +187,7 @@
 #[test_case(|stand, run| stand.reply(run, answered(200, Some(0.0))); "the larger model")]
 #[test_case(|stand, run| {
     stand.reply(run, answered(200, Some(0.9)));
-    stand.reply(run, Reply::Data { data: b"id: 3\n\n".to_vec(), last: Some(3) });
+    stand.reply(run, Reply::Data { data: b"id: 3\n\n".to_vec(), last_event: Some(3) });
     stand.reply(run, Reply::Fail(Failure::new(Reason::UpstreamFailed, Verdict::Ran, "broke off")))
 }; "a stream that goes on")]
 fn what_is_sent_once_more_goes_elsewhere(play: fn(&mut Stand, Sent) -> Vec<Output>) {
--- a/crates/core/tests/leaving_in_answers.rs
+++ b/crates/core/tests/leaving_in_answers.rs
@@ -62,7 +62,7 @@
         let mut stand = Stand::new(3);
         let run = stand.reach(2);
         if caller_left {
-            stand.tell(Input::Gone(run.request));
+            stand.tell(Input::Disconnected(run.request));
         }
         for reply in replies {
             stand.tell(Input::Reply(2, run, reply.clone()));
@@ -118,7 +118,7 @@
     stand.tell(Input::Reply(2, run, head(200)));
     let data = Reply::Data {
         data: b"id:1\n\n".to_vec(),
-        last: Some(1),
+        last_event: Some(1),
     };
     stand.tell(Input::Reply(2, run, data));
     let broken = Failure::new(Reason::LinkLost, Verdict::MayHaveRun, "broke off");
--- a/crates/core/tests/load.rs
+++ b/crates/core/tests/load.rs
@@ -91,7 +91,7 @@
                     let prompts = self.upstreams.get_mut(&link).unwrap();
                     prompts.retain(|p| p.run != run);
                 }
-                Output::Reads(upstream, reading) if self.hears => {
+                Output::Prefill(upstream, reading) if self.hears => {
                     let due = self.now + TOLD_AFTER;
                     self.told.push((due, number, upstream, reading));
                 }
@@ -154,7 +154,7 @@
         self.told = later;
         for (_, from, upstream, reading) in due {
             for number in (0..ENTRIES).filter(|n| *n != from) {
-                self.tell(number, Input::Reads(upstream, reading));
+                self.tell(number, Input::Prefill(upstream, reading));
             }
         }
     }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -407,7 +407,7 @@
     assert!(stand.lose(other).is_empty(), "it is over");
     assert!(stand.entry.history().get(begun).unwrap().failure.is_none());
     let out = stand.tell(Input::Reply(link, run, Reply::End));
-    let freed = |o: &Output| matches!(o, Output::Quarantine(News::Freed(_)));
+    let freed = |o: &Output| matches!(o, Output::RecordQuarantine(News::Freed(_)));
     assert!(out.iter().any(freed), "{out:?}");
     assert!(sent(&stand.ask("/drafts/bad").1).is_some());
 }
@@ -477,7 +477,7 @@
             load: Load::default(),
         };
         for output in entries[0].handle(now, Input::Frame(link, fail)) {
-            let Output::Word(word) = output else { continue };
+            let Output::QuarantineReport(word) = output else { continue };
             let words = Frame::Words(vec![word]);
             for output in sidecars[0].handle(now, sidecar::Input::Frame(0, words)) {
                 if let sidecar::Output::Send(10, frame) = output {
--- a/crates/core/tests/random.rs
+++ b/crates/core/tests/random.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use sorreldeck::bill::{Record, Total};
-use sorreldeck::entry::{self, Ask, Chat, Entry, Part, Rating, Sample, What};
+use sorreldeck::entry::{self, Request, Chat, Entry, Part, Rating, Sample, Payload};
 use sorreldeck::pick::Link;
 use sorreldeck::sidecar::{self, Event, Sidecar};
 use sorreldeck::tree::{Edit, Key, Section};
@@ -286,20 +286,20 @@
                     }
                 }
             }
-            entry::Output::Word(word) => {
+            entry::Output::QuarantineReport(word) => {
                 let wires = self.wires.values_mut().filter(|w| w.entry == i);
                 for wire in wires {
                     wire.to_sidecar.push_back(Frame::Words(vec![word.clone()]));
                 }
             }
             entry::Output::Forward(..)
-            | entry::Output::Quarantine(_)
-            | entry::Output::Reads(..)
-            | entry::Output::Stays(..)
+            | entry::Output::RecordQuarantine(_)
+            | entry::Output::Prefill(..)
+            | entry::Output::Affinity(..)
             | entry::Output::Suspect(_)
             | entry::Output::Notice(_)
-            | entry::Output::Began(_)
-            | entry::Output::Ended(_) => {}
+            | entry::Output::RequestStarted(_)
+            | entry::Output::RequestEnded(_) => {}
         }
     }
 
@@ -412,7 +412,7 @@
         }
     }
 
-    fn ask(&mut self, entry: usize, what: What, once: bool, session: Option<String>) {
+    fn ask(&mut self, entry: usize, what: Payload, once: bool, session: Option<String>) {
         let request = RequestId::new(7, self.next_request);
         self.next_request += 1;
         let caller = Caller {
@@ -421,23 +421,23 @@
             ..Caller::default()
         };
         self.callers.insert(request, caller);
-        let ask = Ask {
+        let ask = Request {
             request,
             key: Some("key".into()),
             route: None,
             class: None,
             session,
-            once: false,
-            idempotency: None,
-            what,
+            at_most_once: false,
+            idempotency_key: None,
+            payload: what,
         };
-        self.tell_entry(entry, entry::Input::Ask(Box::new(ask)));
+        self.tell_entry(entry, entry::Input::Request(Box::new(ask)));
     }
 
     fn chat(&mut self, entry: usize, model: &str, session: Option<String>) {
         let body = format!(r#"{{"model": "{model}", "max_tokens": 3, "messages": []}}"#);
         let chat = Chat::from_slice(body.as_bytes()).unwrap();
-        self.ask(entry, What::Chat(Box::new(chat)), false, session);
+        self.ask(entry, Payload::Chat(Box::new(chat)), false, session);
     }
 
     fn plain(&mut self, entry: usize, method: &str) {
@@ -447,7 +447,7 @@
             headers: Vec::new(),
             body: Vec::new(),
         };
-        self.ask(entry, What::Plain(call), method == "POST", None);
+        self.ask(entry, Payload::Plain(call), method == "POST", None);
     }
 
     fn deliver(&mut self, nth: usize, up: bool) {
@@ -712,7 +712,7 @@
             let caller = self.callers.get_mut(request).unwrap();
             caller.gone = true;
             let entry = caller.entry;
-            self.tell_entry(entry, entry::Input::Gone(*request));
+            self.tell_entry(entry, entry::Input::Disconnected(*request));
         }
     }
 
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -70,7 +70,7 @@
     fn ask(&mut self, resumes: bool) -> Vec<Output> {
         self.next += 1;
         let mut call = common::routed(format!("r{}", self.next), "/drafts/1");
-        call.resumes = resumes;
+        call.is_resumption = resumes;
         call.any_model = true;
         self.tell(common::ask(RequestId::new(1, self.next), Some("key"), call))
     }
--- a/crates/core/tests/regression/failed_continuation_looked_whole.rs
+++ b/crates/core/tests/regression/failed_continuation_looked_whole.rs
@@ -49,7 +49,7 @@
         entry.handle(now, Input::Join(link, Box::new(member)));
     }
     let routed = Routed {
-        left: Some(Span::from_millis(4_000)),
+        time_left: Some(Span::from_millis(4_000)),
         any_model: true,
         tokens: 1,
         ..common::routed("r", "/x")
@@ -63,7 +63,7 @@
     let mut outputs = entry.handle(now, Input::Reply(link, second, common::head(500)));
     let data = Reply::Data {
         data: b"no".to_vec(),
-        last: None,
+        last_event: None,
     };
     outputs.extend(entry.handle(now, Input::Reply(link, second, data)));
     outputs.extend(entry.handle(now, Input::Reply(link, second, Reply::End)));
--- a/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
+++ b/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
@@ -2,7 +2,7 @@
 //! withdrawn; the first try failed; meanwhile the version was back in service,
 //! and the second try still went to the version that the session had moved to.
 
-use sorreldeck::entry::{Ask, Chat, Entry, Input, Output, Settings, What};
+use sorreldeck::entry::{Request, Chat, Entry, Input, Output, Settings, Payload};
 use sorreldeck::session::{Keyring, Session};
 use sorreldeck::tree::{hash_key, parse_toml, Tree};
 use sorreldeck::wire::{Frame, Load, Start, Welcome};
@@ -70,19 +70,19 @@
         version: "big-2".parse().unwrap(),
         upstream: None,
     };
-    let ask = Ask {
+    let ask = Request {
         request: RequestId::new(1, 1),
         key: Some("key".into()),
         route: None,
         class: None,
         session: Some(keys.seal(&session, [1; 24])),
-        once: false,
-        idempotency: None,
-        what: What::Chat(Box::new(
+        at_most_once: false,
+        idempotency_key: None,
+        payload: Payload::Chat(Box::new(
             Chat::from_slice(br#"{"model": "big", "messages": []}"#).unwrap(),
         )),
     };
-    let outputs = entry.handle(Time(2), Input::Ask(Box::new(ask)));
+    let outputs = entry.handle(Time(2), Input::Request(Box::new(ask)));
     let (link, start) = start_in(&outputs);
     assert_eq!(start.version, Some("big-1".parse().unwrap()));
     entry.handle(Time(3), Input::Tree(tree(2, "serving")));
--- a/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
+++ b/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
@@ -62,7 +62,7 @@
 /// What one entry tells the others.
 fn handed_on(output: &Output) -> Option<Input> {
     match output {
-        Output::Stays(stay) => Some(Input::Stays(stay.clone())),
+        Output::Affinity(stay) => Some(Input::Affinity(stay.clone())),
         _ => None,
     }
 }
--- a/crates/core/tests/routed.rs
+++ b/crates/core/tests/routed.rs
@@ -131,9 +131,9 @@
         let request = RequestId::new(1, self.next);
         self.next += 1;
         let routed = Routed {
-            left: Some(Span::from_millis(4_000)),
+            time_left: Some(Span::from_millis(4_000)),
             any_model: true,
-            resumes,
+            is_resumption: resumes,
             ..common::routed(format!("r{}", self.next), path)
         };
         let outputs = self.tell(common::ask(request, key, routed));
@@ -154,7 +154,7 @@
     fn events(&mut self, sent: &Sent, last: u64) -> Vec<Output> {
         let data = Reply::Data {
             data: format!("id: {last}\n\n").into_bytes(),
-            last: Some(last),
+            last_event: Some(last),
         };
         self.tell(Input::Reply(sent.link, sent.run, data))
     }
@@ -265,8 +265,8 @@
     let mut stand = starting();
     let (request, _) = stand.ask("/drafts/1", Some("key"));
     assert!(!stand.entry.is_idle());
-    let outputs = stand.tell(Input::Gone(request));
-    assert!(matches!(outputs[..], [Output::Ended(_)]));
+    let outputs = stand.tell(Input::Disconnected(request));
+    assert!(matches!(outputs[..], [Output::RequestEnded(_)]));
     assert!(stand.entry.is_idle());
 }
 
@@ -460,7 +460,7 @@
         let peer = stand.entry.peers().get(link).unwrap();
         peer.number()
     });
-    stand.tell(Input::Reads(numbers[0], Span::from_millis(600)));
+    stand.tell(Input::Prefill(numbers[0], Span::from_millis(600)));
     for _ in 0..4 {
         let (_, outputs) = stand.ask("/letters/1", Some("key"));
         assert_eq!(sent(&outputs).unwrap().link, 2);
@@ -588,7 +588,7 @@
     let mut stand = Stand::new();
     let (request, outputs) = stand.ask("/drafts/1", Some("key"));
     let first = sent(&outputs).unwrap();
-    let outputs = stand.tell(Input::Gone(request));
+    let outputs = stand.tell(Input::Disconnected(request));
     assert!(cancelled(&outputs, first.run));
     assert!(stand.entry.is_idle());
 }
@@ -631,7 +631,7 @@
         let (request, outputs) = stand.ask("/clock/look/1", None);
         if sent(&outputs).unwrap().link == first.link {
             let decision = stand.entry.history().get(request).unwrap();
-            break decision.tries[0].known.unwrap();
+            break decision.attempts[0].snapshot.unwrap();
         }
     };
     assert_eq!((known.running, known.queued, known.slots), (3, 1, 4));
@@ -648,7 +648,7 @@
     let second = sent(&stand.fail(&first, Verdict::MayHaveRun)).unwrap();
     stand.head(&second, 200, Some(0.9));
     let decision = stand.entry.history().get(request).unwrap();
-    assert_eq!(decision.tries[1].outcome, "went on with 200");
+    assert_eq!(decision.attempts[1].outcome, "went on with 200");
 }
 
 /// An order to move the engines to `v2`, recorded as begun just now.
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -536,7 +536,7 @@
                 "to": rollout.to,
                 "intent": rollout.intent,
                 "record": tree.record(name),
-                "held_back_here": room.entry.watch().suspects(&rollout.to),
+                "held_back_here": room.entry.monitor().is_suspect(&rollout.to),
             })
         })
         .collect();
--- a/crates/daemon/src/admin/explain.rs
+++ b/crates/daemon/src/admin/explain.rs
@@ -1,7 +1,7 @@
 //! Which rule, version and upstream a request got or would get, and why.
 
 use super::*;
-use sorreldeck::entry::{Ask, Chat, What};
+use sorreldeck::entry::{Chat, Payload, Request as EntryRequest};
 use sorreldeck::route;
 use sorreldeck::wire::Call;
 use sorreldeck::{Failure, RequestId};
@@ -48,14 +48,14 @@
     )
 }
 
-fn ask_of(shared: &Shared, described: Described) -> Result<Ask, Refusal> {
+fn ask_of(shared: &Shared, described: Described) -> Result<EntryRequest, Refusal> {
     let what = match (described.model, described.path) {
         (Some(model), None) => {
             let body = json!({"model": model, "messages": []}).to_string();
             let chat = Chat::from_slice(body.as_bytes()).map_err(refusal_of)?;
-            What::Chat(Box::new(chat))
+            Payload::Chat(Box::new(chat))
         }
-        (None, Some(path)) => What::Plain(Call {
+        (None, Some(path)) => Payload::Plain(Call {
             method: described.method.unwrap_or_else(|| "GET".into()),
             path,
             headers: Vec::new(),
@@ -66,15 +66,15 @@
             return Err(Refusal::new(400, "bad_request", message));
         }
     };
-    Ok(Ask {
+    Ok(EntryRequest {
         request: shared.next_request(),
         key: None,
         route: None,
         class: described.class,
         session: described.session,
-        once: false,
-        idempotency: None,
-        what,
+        at_most_once: false,
+        idempotency_key: None,
+        payload: what,
     })
 }
 
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -7,7 +7,7 @@
 use async_std::net::TcpStream;
 use futures_lite::FutureExt;
 use serde_json::{json, Value};
-use sorreldeck::entry::{Ask, Chat, Part, What};
+use sorreldeck::entry::{Chat, Part, Payload, Request as EntryRequest};
 use sorreldeck::header;
 use sorreldeck::route::{self, Caller};
 use sorreldeck::wire::{Call, Header};
@@ -80,7 +80,7 @@
 async fn chat(request: Request<Shared>) -> tide::Result {
     serve(request, |_, body| {
         let chat = Chat::from_slice(&body)?;
-        Ok(What::Chat(Box::new(chat)))
+        Ok(Payload::Chat(Box::new(chat)))
     })
     .await
 }
@@ -89,7 +89,7 @@
     serve(request, |mut call, body| {
         // The API key is for sorreldeck; a service has no use for it.
         call.headers.retain(|h| h.name != "authorization");
-        Ok(What::Plain(Call { body, ..call }))
+        Ok(Payload::Plain(Call { body, ..call }))
     })
     .await
 }
@@ -97,7 +97,7 @@
 /// Serves one request; `read` makes of the call and its body what is asked.
 async fn serve(
     mut request: Request<Shared>,
-    read: fn(Call, Vec<u8>) -> Result<What, Failure>,
+    read: fn(Call, Vec<u8>) -> Result<Payload, Failure>,
 ) -> tide::Result {
     let shared = request.state().clone();
     let id = shared.next_request();
@@ -162,16 +162,16 @@
     }
 }
 
-fn ask_of(request: &Request<Shared>, id: RequestId, what: What) -> Ask {
-    Ask {
+fn ask_of(request: &Request<Shared>, id: RequestId, what: Payload) -> EntryRequest {
+    EntryRequest {
         request: id,
         key: bearer(request),
         route: header_of(request, header::ROUTE),
         class: header_of(request, header::CLASS),
         session: header_of(request, header::SESSION),
-        once: header_of(request, header::ONCE).as_deref() == Some("true"),
-        idempotency: header_of(request, header::IDEMPOTENCY),
-        what,
+        at_most_once: header_of(request, header::ONCE).as_deref() == Some("true"),
+        idempotency_key: header_of(request, header::IDEMPOTENCY),
+        payload: what,
     }
 }
 
@@ -260,7 +260,7 @@
         }
         None => {
             parts.close();
-            let message = sorreldeck::entry::Input::Gone(id);
+            let message = sorreldeck::entry::Input::Disconnected(id);
             let _ = shared.send.send(Message::Input(message)).await;
             let failure = Failure::new(
                 Reason::Cancelled,
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -141,7 +141,7 @@
     let tree = room.entry.tree().clone();
     let mut edits = Vec::new();
     for name in tree.rollouts().keys() {
-        let Some(progress) = room.entry.watch().propose(&tree, name, fence) else {
+        let Some(progress) = room.entry.monitor().propose(&tree, name, fence) else {
             continue;
         };
         let key = Key::new(Section::Progress, name);
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -44,7 +44,7 @@
     /// Something for the decisions.
     Input(Input),
     /// A request and where its answer goes.
-    Ask(Box<sorreldeck::entry::Ask>, Sender<Part>),
+    Ask(Box<sorreldeck::entry::Request>, Sender<Part>),
     /// A link is up; the name is that of the platform's list.
     LinkUp(Link, Outbox),
     /// Something happened on a link.
@@ -257,7 +257,7 @@
             }
         };
         turn::run(&mut self, receive, Room::take, tick).await;
-        if !self.entry.stopped() {
+        if !self.entry.record_stop() {
             warn!("the stop cuts {} requests", self.entry.in_flight());
         }
         info!("the entry has ended");
@@ -296,7 +296,7 @@
             Message::Input(input) => self.handle(input),
             Message::Ask(ask, parts) => {
                 self.callers.insert(ask.request, parts);
-                self.handle(Input::Ask(ask));
+                self.handle(Input::Request(ask));
             }
             Message::LinkUp(link, outbox) => drop(self.links.insert(link, outbox)),
             Message::Link(Event::Frames(link, frames)) => {
@@ -378,16 +378,16 @@
                 self.post(link, frame);
             }
             Output::Suspect(version) => warn!("version {version} is held back here"),
-            Output::Ended(done) => self.metrics.ended(&done),
+            Output::RequestEnded(done) => self.metrics.ended(&done),
             // Sidecars tell all entries what waits to be read.
-            Output::Reads(..) | Output::Stays(..) => {}
-            Output::Word(word) => self.tell_all(&word),
+            Output::Prefill(..) | Output::Affinity(..) => {}
+            Output::QuarantineReport(word) => self.tell_all(&word),
             // What is held back is remembered by the sidecars, which pass the words on.
-            Output::Quarantine(_) => {}
+            Output::RecordQuarantine(_) => {}
             // Only upstreams without a sidecar answer entries themselves.
             Output::Notice(_) => {}
             // Records of runs tell what client accounts used.
-            Output::Began(_) => {}
+            Output::RequestStarted(_) => {}
         }
     }
 
@@ -414,7 +414,7 @@
             self.callers.remove(&request);
         }
         if !heard && !last {
-            self.handle(Input::Gone(request));
+            self.handle(Input::Disconnected(request));
         }
     }
 
--- a/crates/daemon/src/hosted/door.rs
+++ b/crates/daemon/src/hosted/door.rs
@@ -11,7 +11,7 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::{Request, Response, StatusCode};
 use log::warn;
-use sorreldeck::entry::{Ask, Part, Routed, What};
+use sorreldeck::entry::{Part, Payload, Request as EntryRequest, Routed};
 use sorreldeck::wire::{Call, Header};
 use sorreldeck::{Failure, Reason, RequestId, Span, Verdict};
 use sorreldeck_net::h1::{self, Door, Limits};
@@ -133,7 +133,7 @@
     request: Request<Incoming>,
     shared: &Shared,
     reserve: &mut Reserve,
-) -> Result<Ask, Failure> {
+) -> Result<EntryRequest, Failure> {
     let limits = shared.limits();
     let (head, mut body) = request.into_parts();
     let headers = h1::headers_of(&head.headers);
@@ -174,22 +174,22 @@
             headers: call::passed_on(headers, asked.key.is_some()),
             body: buf.to_vec(),
         },
-        left: asked.left,
+        time_left: asked.left,
         any_model: asked.any_model,
         tokens: asked.tokens,
-        chain: asked.chain,
+        prefixes: asked.chain,
         session: asked.session,
-        resumes: asked.resumes,
+        is_resumption: asked.resumes,
     };
-    Ok(Ask {
+    Ok(EntryRequest {
         request: shared.next_request(),
         key: asked.key,
         route: None,
         class: None,
         session: None,
-        once: false,
-        idempotency: None,
-        what: What::Routed(Box::new(routed)),
+        at_most_once: false,
+        idempotency_key: None,
+        payload: Payload::Routed(Box::new(routed)),
     })
 }
 
--- a/crates/daemon/src/hosted/room.rs
+++ b/crates/daemon/src/hosted/room.rs
@@ -20,7 +20,7 @@
 use log::{info, warn};
 use sorreldeck::duty::{Around, Tally};
 use sorreldeck::entry::{
-    Ask, Done, Entry, Input, Output, Part, Reply, Settings as Decisions, What,
+    Request, Summary, Entry, Input, Output, Part, Reply, Settings as Decisions, Payload,
 };
 use sorreldeck::era::Heard;
 use sorreldeck::follow::{Bounds, Peer, Reading};
@@ -80,7 +80,7 @@
 /// What reaches the loop.
 pub enum Message {
     /// A request and where its answer goes.
-    Ask(Box<Ask>, Sender<Part>),
+    Ask(Box<Request>, Sender<Part>),
     /// A caller went away.
     Gone(RequestId),
     /// What an upstream does with a run.
@@ -187,7 +187,7 @@
         decisions.hall = Some(settings.hall.clone());
         decisions.retries = settings.retries;
         decisions.exposure = settings.exposure;
-        decisions.accepted = options.accept.0;
+        decisions.confidence_thresholds = options.accept.0;
         let own = Peer {
             name: settings.instance.clone(),
             hall: settings.hall.clone(),
@@ -198,7 +198,7 @@
         let bounds = Bounds::of(settings.in_force);
         let send = shared.send.clone();
         let duties = Duties::new(settings, shared.incarnation, store.clone(), send);
-        decisions.counts = duties.is_some();
+        decisions.reports_starts = duties.is_some();
         let mut relay = Relay::new(own.clone(), bounds);
         if let Some(asked) = settings.duties.filter(|_| duties.is_some()) {
             relay.count(Tally::new(shared.incarnation, asked.window));
@@ -308,7 +308,7 @@
         let age = self.relay.follow().age(now);
         if age.is_some_and(|age| age < FRESH) || now.since(since) >= DOUBT {
             self.doubts = None;
-            self.handle(Input::Informed);
+            self.handle(Input::Resynced);
         }
     }
 
@@ -395,17 +395,17 @@
         self.wake();
         match message {
             Message::Ask(ask, parts) => {
-                if let What::Routed(routed) = &ask.what {
+                if let Payload::Routed(routed) = &ask.payload {
                     let session = routed.session.map_or(String::new(), |s| format!("{s:x}"));
                     let label = (routed.label.clone(), session);
                     self.labels.insert(ask.request, label);
                 }
                 self.callers.insert(ask.request, parts);
-                self.handle(Input::Ask(ask));
+                self.handle(Input::Request(ask));
             }
             Message::Gone(request) => {
                 self.callers.remove(&request);
-                self.handle(Input::Gone(request));
+                self.handle(Input::Disconnected(request));
             }
             Message::Reply(link, run, reply) => {
                 if matches!(reply, Reply::End | Reply::Fail(_)) {
@@ -554,10 +554,10 @@
                 Order::Send(link, frame) => self.peering.send(link, frame),
                 Order::Read(reading) => self.feed.read(reading),
                 Order::Ask(table) => self.ask_anew(table),
-                Order::Told(pool, hall, report) => self.handle(Input::Told(pool, hall, report)),
-                Order::Reads(number, reading) => self.handle(Input::Reads(number, reading)),
-                Order::Stays(stay) => self.handle(Input::Stays(stay)),
-                Order::Word(word) => self.handle(Input::Word(word)),
+                Order::Told(pool, hall, report) => self.handle(Input::ReleaseReport(pool, hall, report)),
+                Order::Reads(number, reading) => self.handle(Input::Prefill(number, reading)),
+                Order::Stays(stay) => self.handle(Input::Affinity(stay)),
+                Order::Word(word) => self.handle(Input::QuarantineReport(word)),
                 Order::Notice(word) => self.handle(Input::Notice(word)),
             }
         }
@@ -727,7 +727,7 @@
     /// Takes in what is recorded of a request that crashes upstreams.
     fn hold(&mut self, fingerprint: Fingerprint, record: Option<Record>) {
         let Some(record) = record else {
-            return self.handle(Input::Forgotten(fingerprint));
+            return self.handle(Input::QuarantineRemoved(fingerprint));
         };
         // Without the store's clock nothing was ever heard of it, and no record either.
         if let Some(until) = self.mirror.own_time(record.until_us) {
@@ -736,7 +736,7 @@
                 before: record.before,
                 is_own: record.by == self.own.name,
             };
-            self.handle(Input::Held(fingerprint, hold));
+            self.handle(Input::Quarantined(fingerprint, hold));
         }
     }
 
@@ -879,16 +879,16 @@
             }
             Output::Send(_, Frame::Cancel(run)) => drop(self.runs.remove(&run)),
             Output::Answer(request, part) => self.answer(request, part),
-            Output::Reads(number, reading) => self.relay.sent(number, reading),
-            Output::Stays(stay) => self.relay.note_stay(stay, self.clock.now()),
-            Output::Word(word) => self.relay.note_word(word, self.clock.now()),
+            Output::Prefill(number, reading) => self.relay.sent(number, reading),
+            Output::Affinity(stay) => self.relay.note_stay(stay, self.clock.now()),
+            Output::QuarantineReport(word) => self.relay.note_word(word, self.clock.now()),
             Output::Notice(word) => self.relay.note_notice(word),
-            Output::Began(account) => {
+            Output::RequestStarted(account) => {
                 let now = self.clock.now();
                 self.relay.began(&account, &self.mirror, now);
             }
-            Output::Quarantine(news) => self.record(news),
-            Output::Ended(done) => {
+            Output::RecordQuarantine(news) => self.record(news),
+            Output::RequestEnded(done) => {
                 self.metrics.ended(&done);
                 self.finished(&done);
             }
@@ -920,19 +920,19 @@
     }
 
     /// Writes the one line of a request that has ended.
-    fn finished(&mut self, done: &Done) {
+    fn finished(&mut self, done: &Summary) {
         let request = done.request;
         let (label, session) = self.labels.remove(&request).unwrap_or_default();
         let Some(decision) = self.entry.history().get(request) else {
             return;
         };
         let tries: Vec<String> = decision
-            .tries
+            .attempts
             .iter()
             .map(|t| {
                 let version = t.version.as_ref().map_or("-", |v| v.as_str());
-                let known = t.known.map_or_else(String::new, |k| format!(" [{k}]"));
-                let due = t.due.map_or_else(String::new, |d| format!(" [{d}]"));
+                let known = t.snapshot.map_or_else(String::new, |k| format!(" [{k}]"));
+                let due = t.forecast.map_or_else(String::new, |d| format!(" [{d}]"));
                 format!("{}/{version}{known}{due}: {}", t.upstream, t.outcome)
             })
             .collect();
@@ -948,8 +948,8 @@
             decision.asked,
             decision.revision,
             done.account.as_ref().map_or("-", |a| a.as_str()),
-            done.first.map_or(-1, |s| s.millis() as i64),
-            done.whole.millis(),
+            done.first_byte.map_or(-1, |s| s.millis() as i64),
+            done.duration.millis(),
         );
     }
 
@@ -966,7 +966,7 @@
         let gauges = self.metrics.gauges();
         gauges.revision.set(self.entry.tree().revision().0 as i64);
         gauges.in_flight.set(self.entry.in_flight() as i64);
-        gauges.held_back.set(self.entry.held_back(now) as i64);
+        gauges.held_back.set(self.entry.quarantined(now) as i64);
         let peers = self.entry.peers();
         gauges.cold.set(peers.cold(now) as i64);
         gauges.leaving.set(peers.leaving() as i64);
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
 use prometheus_client::registry::Registry;
-use sorreldeck::entry::Done;
+use sorreldeck::entry::Summary;
 use sorreldeck::{Promise, Promises};
 use sorreldeck_net::link::Traffic;
 use std::sync::atomic::Ordering;
@@ -257,7 +257,7 @@
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&self, done: &Done) {
+    pub fn ended(&self, done: &Summary) {
         let account = done
             .account
             .as_ref()
@@ -272,13 +272,13 @@
             account: account.clone(),
             class: class.clone(),
         };
-        if let Some(first) = done.first {
+        if let Some(first) = done.first_byte {
             self.first.get_or_create(&who).observe(first.secs_f64());
         }
         if done.failure.is_none() {
             self.whole
                 .get_or_create(&who)
-                .observe(done.whole.secs_f64());
+                .observe(done.duration.secs_f64());
         }
         let outcome = done.failure.map_or("answered", |reason| reason.code());
         let outcome = Outcome {
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -1,7 +1,7 @@
 //! The settings of a process: flags, each with an environment variable.
 
 use bpaf::Bpaf;
-use sorreldeck::entry::{Judge, ACCEPTED};
+use sorreldeck::entry::{Judge, CONFIDENCE_THRESHOLDS};
 use sorreldeck::pick::Policy;
 use sorreldeck::session::Keyring;
 use sorreldeck::{Hall, InstanceId, PoolId, Share, Span, UpstreamId};
@@ -50,7 +50,7 @@
     #[bpaf(long, argument("POLICY"), fallback(Policy::FirstToken))]
     pub policy: Policy,
     /// The confidence from which a small model's answer is given, for routes of rank 0, 1, and 2 and more
-    #[bpaf(long, argument("SHARE,SHARE,SHARE"), fallback(Accepted(ACCEPTED)))]
+    #[bpaf(long, argument("SHARE,SHARE,SHARE"), fallback(Accepted(CONFIDENCE_THRESHOLDS)))]
     pub accept: Accepted,
     /// Logs as text or json
     #[bpaf(external(log_format))]
--- a/crates/emulator/src/crash/calls.rs
+++ b/crates/emulator/src/crash/calls.rs
@@ -2,7 +2,7 @@
 
 use super::Kind;
 use crate::routed;
-use sorreldeck::entry::{Input, Member, Routed, What};
+use sorreldeck::entry::{Input, Member, Routed, Payload};
 use sorreldeck::pick::{Link, Place};
 use sorreldeck::quarantine::Fingerprint;
 use sorreldeck::RequestId;
@@ -25,7 +25,7 @@
 pub fn fingerprint(kind: Kind) -> Fingerprint {
     // Calls of public routes belong to no client account.
     let nobody = "nobody".parse().expect("a legal name");
-    What::Routed(Box::new(call(kind))).fingerprint(&nobody)
+    Payload::Routed(Box::new(call(kind))).fingerprint(&nobody)
 }
 
 /// Returns an upstream.
--- a/crates/emulator/src/crash/world.rs
+++ b/crates/emulator/src/crash/world.rs
@@ -176,11 +176,11 @@
                 }
             }
             Event::Back => self.back(),
-            Event::Word(entry, word) => self.tell(entry, Input::Word(word)),
+            Event::Word(entry, word) => self.tell(entry, Input::QuarantineReport(word)),
             Event::Record(entry, fingerprint, hold) => {
                 let input = match hold {
-                    Some(hold) => Input::Held(fingerprint, hold),
-                    None => Input::Forgotten(fingerprint),
+                    Some(hold) => Input::Quarantined(fingerprint, hold),
+                    None => Input::QuarantineRemoved(fingerprint),
                 };
                 self.tell(entry, input);
             }
@@ -204,7 +204,7 @@
         self.asked.retain(|_, (at, _, _)| *at != 0);
         for (fingerprint, (hold, by)) in self.records.clone() {
             let is_own = by == 0;
-            self.tell(0, Input::Held(fingerprint, Hold { is_own, ..hold }));
+            self.tell(0, Input::Quarantined(fingerprint, Hold { is_own, ..hold }));
         }
     }
 
@@ -281,7 +281,7 @@
                 }
             }
             Output::Answer(request, part) => self.answered(request, &part),
-            Output::Word(word) => {
+            Output::QuarantineReport(word) => {
                 for other in (0..self.entries.len()).filter(|n| *n != entry) {
                     if !self.day.is_deaf {
                         let at = self.after_ms(20, 150);
@@ -292,7 +292,7 @@
                     }
                 }
             }
-            Output::Quarantine(news) => self.record(entry, news),
+            Output::RecordQuarantine(news) => self.record(entry, news),
             _ => {}
         }
     }
--- a/crates/emulator/src/notice/world.rs
+++ b/crates/emulator/src/notice/world.rs
@@ -213,7 +213,7 @@
         };
         let call = Routed {
             tokens: PROMPT,
-            chain: vec![shared, own],
+            prefixes: vec![shared, own],
             ..routed::routed(format!("r{}", self.next), path)
         };
         self.tell(entry, routed::ask(request, None, call));
--- a/crates/emulator/src/routed.rs
+++ b/crates/emulator/src/routed.rs
@@ -11,7 +11,7 @@
 //! assert_eq!(entry.in_flight(), 1);
 //! ```
 
-use sorreldeck::entry::{Ask, Entry, Head, Input, Member, Reply, Routed, Settings, What};
+use sorreldeck::entry::{Request, Entry, Head, Input, Member, Reply, Routed, Settings, Payload};
 use sorreldeck::notice::Notice;
 use sorreldeck::pick::Place;
 use sorreldeck::tree::parse_toml;
@@ -30,26 +30,26 @@
             headers: Vec::new(),
             body: Vec::new(),
         },
-        left: Some(Span::from_millis(20_000)),
+        time_left: Some(Span::from_millis(20_000)),
         any_model: false,
         tokens: 100,
-        chain: Vec::new(),
+        prefixes: Vec::new(),
         session: None,
-        resumes: false,
+        is_resumption: false,
     }
 }
 
 /// Returns what asks an entry for a call.
 pub fn ask(request: RequestId, key: Option<&str>, routed: Routed) -> Input {
-    Input::Ask(Box::new(Ask {
+    Input::Request(Box::new(Request {
         request,
         key: key.map(str::to_owned),
         route: None,
         class: None,
         session: None,
-        once: false,
-        idempotency: None,
-        what: What::Routed(Box::new(routed)),
+        at_most_once: false,
+        idempotency_key: None,
+        payload: Payload::Routed(Box::new(routed)),
     }))
 }
 
