--- a/crates/core/src/entry/decision.rs
+++ b/crates/core/src/entry/decision.rs
@@ -67,13 +67,14 @@
 /// ```
 /// use sorreldeck::entry::Forecast;
 ///
-/// let forecast = Forecast { fresh: 3700, behind_ms: 40, first_ms: 210 };
+/// let forecast = Forecast { uncached_tokens: 3700, behind_ms: 40, first_ms: 210 };
 /// assert_eq!(forecast.to_string(), "fresh=3700 behind=40ms due=210ms");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forecast {
     /// The tokens of the prompt that were to be read.
-    pub fresh: u32,
+    #[serde(rename = "fresh")]
+    pub uncached_tokens: u32,
     /// The milliseconds put down to what was to be read there before.
     pub behind_ms: u64,
     /// The milliseconds to the beginning of the answer.
@@ -83,7 +84,7 @@
 impl fmt::Display for Forecast {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Forecast {
-            fresh,
+            uncached_tokens: fresh,
             behind_ms,
             first_ms,
         } = self;
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -145,7 +145,7 @@
     /// long to be read.
     Prefill(u64, Span),
     /// Another entry serves a session at a release.
-    Affinity(release::Stay),
+    SessionPin(release::Stay),
     /// Another entry tells of requests and the upstreams that crashed under them.
     QuarantineReport(quarantine::Word),
     /// Another entry tells what an upstream said of itself.
@@ -175,7 +175,7 @@
     /// What is known has been heard anew since.
     Resynced,
     /// The process is to stop when its work is done.
-    Leave,
+    Drain,
 }
 
 /// A rating of one answer.
@@ -231,7 +231,7 @@
     /// that takes this long.
     Prefill(u64, Span),
     /// Tell other entries that a session stays at a release.
-    Affinity(release::Stay),
+    SessionPin(release::Stay),
     /// Tell other entries of requests and the upstreams that crashed under them.
     QuarantineReport(quarantine::Word),
     /// Tell other entries what an upstream said of itself.
@@ -353,7 +353,7 @@
                 }
             }
             Input::Prefill(number, reading) => self.peers.told(number, reading, now),
-            Input::Affinity(stay) => self.releases.stayed(stay, now),
+            Input::SessionPin(stay) => self.releases.stayed(stay, now),
             Input::QuarantineReport(word) => self.take_word(now, word),
             Input::Notice(word) => self.peers.heard_of(word, now),
             Input::Quarantined(fingerprint, hold) => self.quarantine.recorded(fingerprint, hold, now),
@@ -368,11 +368,11 @@
             Input::Tick => self.tick(now, &mut out),
             Input::Suspended => self.suspended = true,
             Input::Resynced => self.suspended = false,
-            Input::Leave => self.leaving = true,
+            Input::Drain => self.leaving = true,
         }
         self.tell_of_quarantine(now, &mut out);
         out.extend(self.peers.words().into_iter().map(Output::Notice));
-        out.extend(self.releases.stays(now).into_iter().map(Output::Affinity));
+        out.extend(self.releases.stays(now).into_iter().map(Output::SessionPin));
         out
     }
 
@@ -404,7 +404,7 @@
     }
 
     /// Returns the counts of the promises.
-    pub fn promises(&self) -> &Promises {
+    pub fn invariants(&self) -> &Promises {
         &self.promises
     }
 
--- a/crates/core/src/entry/routed/mod.rs
+++ b/crates/core/src/entry/routed/mod.rs
@@ -93,7 +93,7 @@
     /// Returns what was expected, for the record of a decision.
     pub fn due(&self) -> Forecast {
         Forecast {
-            fresh: self.fresh,
+            uncached_tokens: self.fresh,
             behind_ms: self.behind.millis(),
             first_ms: self.first().millis(),
         }
@@ -123,7 +123,7 @@
     /// The pool.
     pub pool: PoolId,
     /// Where it is and what it runs.
-    pub place: Place,
+    pub placement: Place,
     /// The requests that it runs at a time, and what else is known of its load.
     pub load: Load,
 }
@@ -169,7 +169,7 @@
     pub(in crate::entry) fn join(&mut self, link: Link, member: Member, now: Time) {
         self.peers
             .join(link, member.upstream, &member.pool, member.load);
-        self.peers.settle(link, member.place);
+        self.peers.settle(link, member.placement);
         self.peers.report(link, member.load, now);
         self.peers.heard(link, now);
         self.peers.joined(link, now);
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -317,7 +317,7 @@
             let member = Member {
                 upstream: format!("u{link}").parse().unwrap(),
                 pool: pool(),
-                place: Place::default(),
+                placement: Place::default(),
                 load: Load {
                     slots: 8,
                     ..Load::default()
--- a/crates/core/tests/random.rs
+++ b/crates/core/tests/random.rs
@@ -237,10 +237,10 @@
             self.entry_output(i, output);
         }
         assert_eq!(
-            broken(self.entries[i].promises()),
+            broken(self.entries[i].invariants()),
             0,
             "{:?}",
-            self.entries[i].promises()
+            self.entries[i].invariants()
         );
     }
 
@@ -295,7 +295,7 @@
             entry::Output::Forward(..)
             | entry::Output::RecordQuarantine(_)
             | entry::Output::Prefill(..)
-            | entry::Output::Affinity(..)
+            | entry::Output::SessionPin(..)
             | entry::Output::Suspect(_)
             | entry::Output::Notice(_)
             | entry::Output::RequestStarted(_)
--- a/crates/core/tests/regression/failed_continuation_looked_whole.rs
+++ b/crates/core/tests/regression/failed_continuation_looked_whole.rs
@@ -43,7 +43,7 @@
         let member = Member {
             upstream: format!("u{link}").parse().unwrap(),
             pool: "engines".parse().unwrap(),
-            place: Place::default(),
+            placement: Place::default(),
             load: Load::default(),
         };
         entry.handle(now, Input::Join(link, Box::new(member)));
--- a/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
+++ b/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
@@ -91,5 +91,5 @@
     let outputs = entry.handle(Time(4), Input::Frame(link, fail));
     let (_, start) = start_in(&outputs);
     assert_eq!(start.version, Some("big-2".parse().unwrap()));
-    assert_eq!(entry.promises().violated(Promise::Session), 0);
+    assert_eq!(entry.invariants().violated(Promise::Session), 0);
 }
--- a/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
+++ b/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
@@ -37,7 +37,7 @@
         let member = Member {
             upstream: format!("u{link}").parse().unwrap(),
             pool: "engines".parse().unwrap(),
-            place: Place {
+            placement: Place {
                 start: None,
                 hall: None,
                 release: Some(release.parse().unwrap()),
@@ -62,7 +62,7 @@
 /// What one entry tells the others.
 fn handed_on(output: &Output) -> Option<Input> {
     match output {
-        Output::Affinity(stay) => Some(Input::Affinity(stay.clone())),
+        Output::SessionPin(stay) => Some(Input::SessionPin(stay.clone())),
         _ => None,
     }
 }
--- a/crates/core/tests/routed.rs
+++ b/crates/core/tests/routed.rs
@@ -79,7 +79,7 @@
     let member = Member {
         upstream: name.parse().unwrap(),
         pool: pool.parse().unwrap(),
-        place: Place {
+        placement: Place {
             release: Some(release.parse().unwrap()),
             ..Place::default()
         },
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -272,7 +272,7 @@
         if since.elapsed() < grace {
             return false;
         }
-        self.handle(Input::Leave);
+        self.handle(Input::Drain);
         let idle = self.entry.is_idle() && self.callers.is_empty() && self.entry.unbilled() == 0;
         idle || since.elapsed() >= STOP_TIMEOUT
     }
@@ -380,7 +380,7 @@
             Output::Suspect(version) => warn!("version {version} is held back here"),
             Output::RequestEnded(done) => self.metrics.ended(&done),
             // Sidecars tell all entries what waits to be read.
-            Output::Prefill(..) | Output::Affinity(..) => {}
+            Output::Prefill(..) | Output::SessionPin(..) => {}
             Output::QuarantineReport(word) => self.tell_all(&word),
             // What is held back is remembered by the sidecars, which pass the words on.
             Output::RecordQuarantine(_) => {}
@@ -465,7 +465,7 @@
     }
 
     fn watch_promises(&mut self) {
-        let promises = self.entry.promises();
+        let promises = self.entry.invariants();
         let violated: u64 = Promise::ALL.iter().map(|p| promises.violated(*p)).sum();
         if violated > self.violated {
             self.violated = violated;
@@ -481,7 +481,7 @@
         gauges.in_flight.set(self.entry.in_flight() as i64);
         gauges.unbilled.set(self.entry.unbilled() as i64);
         gauges.set_traffic(&self.traffic);
-        self.metrics.set_promises(self.entry.promises());
+        self.metrics.set_promises(self.entry.invariants());
         self.metrics.text()
     }
 }
--- a/crates/daemon/src/hosted/mirror/upstreams.rs
+++ b/crates/daemon/src/hosted/mirror/upstreams.rs
@@ -92,7 +92,7 @@
     /// An older one that is heard of late changes nothing.
     pub(super) fn list(&mut self, id: &str, listed: Listed) -> Vec<News> {
         let latest = self.born.get(id).copied();
-        let born = listed.member.place.start.or(latest);
+        let born = listed.member.placement.start.or(latest);
         if born < latest {
             return Vec::new();
         }
--- a/crates/daemon/src/hosted/room.rs
+++ b/crates/daemon/src/hosted/room.rs
@@ -556,7 +556,7 @@
                 Order::Ask(table) => self.ask_anew(table),
                 Order::Told(pool, hall, report) => self.handle(Input::ReleaseReport(pool, hall, report)),
                 Order::Reads(number, reading) => self.handle(Input::Prefill(number, reading)),
-                Order::Stays(stay) => self.handle(Input::Affinity(stay)),
+                Order::Stays(stay) => self.handle(Input::SessionPin(stay)),
                 Order::Word(word) => self.handle(Input::QuarantineReport(word)),
                 Order::Notice(word) => self.handle(Input::Notice(word)),
             }
@@ -758,9 +758,9 @@
     fn join(&mut self, mut listed: Listed, from: &str) {
         // Where rows do not tell starts apart the address does: what one start said of itself
         // must not be taken for another's.
-        let start = &mut listed.member.place.start;
+        let start = &mut listed.member.placement.start;
         start.get_or_insert_with(|| start_at(listed.address));
-        let place = &mut listed.member.place;
+        let place = &mut listed.member.placement;
         place.region = place
             .hall
             .as_ref()
@@ -772,11 +772,11 @@
         info!(
             "event=joined upstream={} start={:?} pool={} address={} hall={:?} release={:?} {origin}",
             member.upstream,
-            member.place.start,
+            member.placement.start,
             member.pool,
             listed.address,
-            member.place.hall,
-            member.place.release
+            member.placement.hall,
+            member.placement.release
         );
         self.upstreams.insert(member.upstream.clone(), link);
         self.addresses.insert(link, listed.address);
@@ -880,7 +880,7 @@
             Output::Send(_, Frame::Cancel(run)) => drop(self.runs.remove(&run)),
             Output::Answer(request, part) => self.answer(request, part),
             Output::Prefill(number, reading) => self.relay.sent(number, reading),
-            Output::Affinity(stay) => self.relay.note_stay(stay, self.clock.now()),
+            Output::SessionPin(stay) => self.relay.note_stay(stay, self.clock.now()),
             Output::QuarantineReport(word) => self.relay.note_word(word, self.clock.now()),
             Output::Notice(word) => self.relay.note_notice(word),
             Output::RequestStarted(account) => {
@@ -955,7 +955,7 @@
 
     /// Returns the figures of this process as text.
     pub fn metrics_text(&mut self) -> String {
-        self.metrics.set_promises(self.entry.promises());
+        self.metrics.set_promises(self.entry.invariants());
         let now = self.clock.now();
         for table in Table::ALL {
             let silence = self.answers.silence_ms(table, now);
--- a/crates/daemon/src/hosted/rules.rs
+++ b/crates/daemon/src/hosted/rules.rs
@@ -48,6 +48,6 @@
         return false;
     };
     let is_same =
-        row.address == other.address && row.member.place.start == other.member.place.start;
+        row.address == other.address && row.member.placement.start == other.member.placement.start;
     is_same && row.leaving && !other.leaving
 }
--- a/crates/daemon/tests/mirror.rs
+++ b/crates/daemon/tests/mirror.rs
@@ -305,7 +305,7 @@
 
 fn joined(news: &[News]) -> Vec<Option<u64>> {
     let starts = news.iter().filter_map(|n| match n {
-        News::Joined(listed) => Some(listed.member.place.start.map(|start| start.0)),
+        News::Joined(listed) => Some(listed.member.placement.start.map(|start| start.0)),
         _ => None,
     });
     starts.collect()
--- a/crates/emulator/src/routed.rs
+++ b/crates/emulator/src/routed.rs
@@ -83,7 +83,7 @@
     Member {
         upstream: format!("u{number}").parse().expect("a legal name"),
         pool: "engines".parse().expect("a legal name"),
-        place,
+        placement: place,
         load: Load {
             slots,
             ..Load::default()
