--- a/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
+++ b/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
@@ -37,7 +37,7 @@
         let member = Member {
             upstream: format!("u{link}").parse().unwrap(),
             pool: "engines".parse().unwrap(),
-            place: Placement {
+            placement: Placement {
                 incarnation: None,
                 hall: None,
                 release: Some(release.parse().unwrap()),
@@ -62,7 +62,7 @@
 /// What one entry tells the others.
 fn handed_on(output: &Output) -> Option<Input> {
     match output {
-        Output::Stays(stay) => Some(Input::Stays(stay.clone())),
+        Output::SessionPin(stay) => Some(Input::SessionPin(stay.clone())),
         _ => None,
     }
 }
--- a/crates/daemon/src/hosted/mirror/upstreams.rs
+++ b/crates/daemon/src/hosted/mirror/upstreams.rs
@@ -92,7 +92,7 @@
     /// An older one that is heard of late changes nothing.
     pub(super) fn list(&mut self, id: &str, listed: Listed) -> Vec<Update> {
         let latest = self.born.get(id).copied();
-        let born = listed.member.place.incarnation.or(latest);
+        let born = listed.member.placement.incarnation.or(latest);
         if born < latest {
             return Vec::new();
         }
--- a/crates/daemon/tests/mirror.rs
+++ b/crates/daemon/tests/mirror.rs
@@ -305,7 +305,7 @@
 
 fn joined(news: &[Update]) -> Vec<Option<u64>> {
     let starts = news.iter().filter_map(|n| match n {
-        Update::Joined(listed) => Some(listed.member.place.incarnation.map(|start| start.0)),
+        Update::Joined(listed) => Some(listed.member.placement.incarnation.map(|start| start.0)),
         _ => None,
     });
     starts.collect()
