--- a/crates/core/src/entry/dispatch.rs
+++ b/crates/core/src/entry/dispatch.rs
@@ -119,9 +119,9 @@
             shared_prefix: None,
             last_upstream: flight.session.as_ref().and_then(|s| s.upstream.as_ref()),
             tried: &apart,
-            affinity: Affinity {
+            constraints: Constraints {
                 regions: flight.regions(),
-                ..Affinity::default()
+                ..Constraints::default()
             },
             prefill_rate: None,
             scope: Scope::Hall,
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -37,7 +37,7 @@
 use crate::limit::Limits;
 use crate::failover::Outcomes;
 use crate::notice;
-use crate::pick::{Link, Affinity, Peers, Policy, Criteria};
+use crate::pick::{Link, Constraints, Peers, Policy, Criteria};
 use crate::promise::{Promise, Promises};
 use crate::quarantine::{self, Fingerprint, Quarantine};
 use crate::latency::Estimator;
@@ -544,9 +544,9 @@
             shared_prefix: None,
             last_upstream: None,
             tried: &[],
-            affinity: Affinity {
+            constraints: Constraints {
                 regions: flight.regions(),
-                ..Affinity::default()
+                ..Constraints::default()
             },
             prefill_rate: None,
             scope: Scope::Hall,
--- a/crates/core/src/entry/routed/send.rs
+++ b/crates/core/src/entry/routed/send.rs
@@ -1,7 +1,7 @@
 //! How a routed request is sent to an upstream.
 
 use super::*;
-use crate::pick::{self, Chosen, Affinity, Peer};
+use crate::pick::{self, Chosen, Constraints, Peer};
 use crate::release::{Few, Stay, LIFE};
 use crate::wire::Order;
 
@@ -79,7 +79,7 @@
             shared_prefix: flight.shared(),
             last_upstream: None,
             tried: &apart,
-            affinity: Affinity {
+            constraints: Constraints {
                 hall: self.settings.hall.as_ref(),
                 release: flight.version(),
                 subset: few,
--- a/crates/core/src/pick/mod.rs
+++ b/crates/core/src/pick/mod.rs
@@ -5,7 +5,7 @@
 //! since, and the prefill of the prompt tokens that are not in its cache.
 //!
 //! ```
-//! use sorreldeck::pick::{Affinity, Peers, Policy, Criteria};
+//! use sorreldeck::pick::{Constraints, Peers, Policy, Criteria};
 //! use sorreldeck::reuse::Scope;
 //! use sorreldeck::wire::Load;
 //! use sorreldeck::Time;
@@ -13,7 +13,7 @@
 //! let mut peers = Peers::default();
 //! let pool = "assistant".parse()?;
 //! peers.join(1, "u1".parse()?, &pool, Load { slots: 4, ..Load::default() });
-//! let wish = Criteria { pool: &pool, tokens: 100, urgent: false, rank: 0, prefixes: &[], shared_prefix: None, last_upstream: None, tried: &[], affinity: Affinity::default(), prefill_rate: None, scope: Scope::Hall };
+//! let wish = Criteria { pool: &pool, tokens: 100, urgent: false, rank: 0, prefixes: &[], shared_prefix: None, last_upstream: None, tried: &[], constraints: Constraints::default(), prefill_rate: None, scope: Scope::Hall };
 //! assert_eq!(peers.pick(&wish, Policy::FirstToken, Time(0), 0.5), Some(1));
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
@@ -110,7 +110,7 @@
 
 /// What a request wants of an upstream's place.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Affinity<'a> {
+pub struct Constraints<'a> {
     /// The data hall that is cheap to reach.
     pub hall: Option<&'a Hall>,
     /// The release that must answer.
@@ -121,7 +121,7 @@
     pub regions: [Option<&'a BTreeSet<Region>>; 2],
 }
 
-impl Affinity<'_> {
+impl Constraints<'_> {
     /// Returns whether a request may be served at a place; one whose region is not known is in
     /// none that is allowed.
     fn allows(&self, place: &Placement) -> bool {
@@ -153,7 +153,7 @@
     /// The links already tried.
     pub tried: &'a [Link],
     /// Where the upstream ought to be.
-    pub affinity: Affinity<'a>,
+    pub constraints: Constraints<'a>,
     /// How fast its prompt is read, in tokens, where that is learned from answers; each
     /// upstream then counts as reading until it answers.
     pub prefill_rate: Option<Rate>,
@@ -411,7 +411,7 @@
             .working(wish.pool)
             .filter(|(link, peer)| may(link, peer));
         let mut usable: Vec<Link> = usable.map(|(link, _)| link).collect();
-        if let Some(few) = wish.affinity.subset {
+        if let Some(few) = wish.constraints.subset {
             self.keep_few(&mut usable, few);
         }
         let sound = |l: &Link| self.peers[l].avoided <= now;
--- a/crates/core/src/pick/peer.rs
+++ b/crates/core/src/pick/peer.rs
@@ -177,9 +177,9 @@
     /// Returns whether the upstream runs the release that must answer, if one must, and is where
     /// the request may be served.
     pub(super) fn suits(&self, wish: &Criteria) -> bool {
-        let release = wish.affinity.release;
+        let release = wish.constraints.release;
         let runs = release.is_none_or(|r| self.placement.release.as_ref() == Some(r));
-        runs && wish.affinity.allows(&self.placement)
+        runs && wish.constraints.allows(&self.placement)
     }
 
     /// Returns whether the upstream counts as cold; never, where it bears everything then.
@@ -218,7 +218,7 @@
 
     /// Returns what crossing to the upstream's data hall costs, in microseconds.
     pub(super) fn crossing(&self, wish: &Criteria) -> u64 {
-        let there = wish.affinity.hall.zip(self.placement.hall.as_ref());
+        let there = wish.constraints.hall.zip(self.placement.hall.as_ref());
         match there.is_some_and(|(own, hall)| own != hall) {
             true => CROSS_HALL_PENALTY.micros(),
             false => 0,
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -1,6 +1,6 @@
 //! Where prompts go that share a beginning: entries agree without talking.
 
-use sorreldeck::pick::{Link, Affinity, Peers, Placement, Policy, Prefix, Criteria};
+use sorreldeck::pick::{Link, Constraints, Peers, Placement, Policy, Prefix, Criteria};
 use sorreldeck::reuse::{Reuse, Scope};
 use sorreldeck::wire::Load;
 use sorreldeck::{Hall, PoolId, Span, Time};
@@ -72,9 +72,9 @@
             shared_prefix: Some(shared),
             last_upstream: None,
             tried: &[],
-            affinity: Affinity {
+            constraints: Constraints {
                 hall: Some(&self.hall),
-                ..Affinity::default()
+                ..Constraints::default()
             },
             prefill_rate: None,
             scope: self.scope,
--- a/crates/core/tests/latency.rs
+++ b/crates/core/tests/latency.rs
@@ -1,6 +1,6 @@
 //! How reading that is learned decides where prompts go and how long they are waited for.
 
-use sorreldeck::pick::{Link, Affinity, Peers, Policy, Criteria};
+use sorreldeck::pick::{Link, Constraints, Peers, Policy, Criteria};
 use sorreldeck::latency::{Estimator, Workload};
 use sorreldeck::reuse::Scope;
 use sorreldeck::wire::Load;
@@ -92,7 +92,7 @@
         shared_prefix: None,
         last_upstream: None,
         tried: &[],
-        affinity: Affinity::default(),
+        constraints: Constraints::default(),
         prefill_rate: Some(Rate::from_per_second(12_000.0)),
         scope: Scope::Hall,
     };
