--- a/crates/daemon/src/hosted/relay.rs
+++ b/crates/daemon/src/hosted/relay.rs
@@ -10,7 +10,7 @@
 use super::reports::Reports;
 use super::hints::{Hints, Stays};
 use super::mirror::{Mirror, Update, Merge};
-use sorreldeck::duty::{Update, Tally};
+use sorreldeck::duty::{Tally, Update as UsageUpdate};
 use sorreldeck::era::Stamp;
 use sorreldeck::replication::{Action, Timeouts, Planner, Peer, Subscription, Status};
 use sorreldeck::notice;
@@ -711,7 +711,7 @@
 
 /// Returns what a source is to be told of what was counted: all where it was told nothing yet, or
 /// else what has changed. `usage` is given where it is told of that at all.
-fn counts_for(source: &mut Source, changed: &[Update], counted: Option<&Usage>) -> Vec<Update> {
+fn counts_for(source: &mut Source, changed: &[UsageUpdate], counted: Option<&Usage>) -> Vec<UsageUpdate> {
     let Some(counted) = counted else {
         return Vec::new();
     };
