--- a/crates/bench/src/rollout.rs
+++ b/crates/bench/src/rollout.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use serde_json::{json, Value};
-use sorreldeck::entry::{Judge, Aggregate, Monitor};
+use sorreldeck::entry::{Aggregate, Judge, Monitor};
 use sorreldeck::tree::Section;
 use sorreldeck::wire::Header;
 use sorreldeck::{Incarnation, Tree, VersionId};
--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -4,7 +4,7 @@
 //! `cargo bench -p sorreldeck`
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use sorreldeck::entry::{Request, Chat, Entry, Input, Output, Settings, Payload};
+use sorreldeck::entry::{Chat, Entry, Input, Output, Payload, Request, Settings};
 use sorreldeck::subset::{self, SIZES};
 use sorreldeck::tree::{hash_key, parse_toml, Tree};
 use sorreldeck::wire::{Frame, Load, Usage, Welcome};
--- a/crates/core/src/duty/mod.rs
+++ b/crates/core/src/duty/mod.rs
@@ -27,9 +27,9 @@
 mod rows;
 mod tally;
 
-pub use reporter::{median, Context, Transaction, Reporter, Outcome, Report, Settings, Step};
+pub use reporter::{median, Context, Outcome, Report, Reporter, Settings, Step, Transaction};
 pub use rows::Row;
-pub use tally::{Counts, Update, Tally};
+pub use tally::{Counts, Tally, Update};
 
 use crate::unit::{Span, Time};
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/duty/reporter.rs
+++ b/crates/core/src/duty/reporter.rs
@@ -606,7 +606,8 @@
         let Some(Pending::Report(window)) = self.pending.take() else {
             return;
         };
-        let is_late = time >= window.end(self.settings.window_length) + self.settings.report_deadline;
+        let is_late =
+            time >= window.end(self.settings.window_length) + self.settings.report_deadline;
         match outcome {
             Outcome::Taken => self.finish(window, now),
             Outcome::Refused if is_late => self.finish(window, now),
--- a/crates/core/src/entry/admit.rs
+++ b/crates/core/src/entry/admit.rs
@@ -114,7 +114,12 @@
         Ok((flight, Action::Route))
     }
 
-    pub(super) fn prepare(&self, now: Time, ask: Request, site: Context) -> Result<Flight, Failure> {
+    pub(super) fn prepare(
+        &self,
+        now: Time,
+        ask: Request,
+        site: Context,
+    ) -> Result<Flight, Failure> {
         let (goal, pool, once) = match &ask.payload {
             Payload::Chat(chat) => {
                 let goal = route::target(&self.tree, &site, &chat.model)?;
@@ -151,7 +156,11 @@
         Ok((name.clone(), !pool.may_repeat(&call.method)))
     }
 
-    pub(super) fn open_session(&self, ask: &Request, site: &Context) -> Result<Option<Session>, Failure> {
+    pub(super) fn open_session(
+        &self,
+        ask: &Request,
+        site: &Context,
+    ) -> Result<Option<Session>, Failure> {
         let (Some(token), Payload::Chat(chat)) = (&ask.session, &ask.payload) else {
             return Ok(None);
         };
--- a/crates/core/src/entry/answer.rs
+++ b/crates/core/src/entry/answer.rs
@@ -542,7 +542,11 @@
         self.note_stay(now, &flight, SESSION_TTL);
         self.history
             .note(request, |d| d.failure = Some(failure.clone()));
-        out.push(Output::RequestEnded(done(&flight, now, Some(failure.reason))));
+        out.push(Output::RequestEnded(done(
+            &flight,
+            now,
+            Some(failure.reason),
+        )));
         out.push(Output::Answer(request, Part::Fail(failure)));
     }
 
--- a/crates/core/src/entry/dispatch.rs
+++ b/crates/core/src/entry/dispatch.rs
@@ -55,7 +55,13 @@
             if usable(&session.version) {
                 let why = Cause::Session;
                 let version = session.version.clone();
-                return Ok((Choice { version, cause: why }, steps.len()));
+                return Ok((
+                    Choice {
+                        version,
+                        cause: why,
+                    },
+                    steps.len(),
+                ));
             }
         }
         let left: Vec<usize> = (step..steps.len())
@@ -65,7 +71,9 @@
         let class = flight.site.class;
         let asked = left.iter().copied().find(|i| {
             let last = left.last() == Some(i);
-            last || self.policy(name, *i, class).is_none_or(|p| p.should_query(draw))
+            last || self
+                .policy(name, *i, class)
+                .is_none_or(|p| p.should_query(draw))
         });
         let index = asked.ok_or_else(|| {
             let message = format!("no version of {name} that the account may use takes new work");
@@ -76,7 +84,13 @@
             Some(session) => Cause::Moved(session.version.clone()),
             None => Cause::Cascade(name.clone()),
         };
-        Ok((Choice { version, cause: why }, index))
+        Ok((
+            Choice {
+                version,
+                cause: why,
+            },
+            index,
+        ))
     }
 
     /// Chooses version and upstream and sends the request there.
--- a/crates/core/src/entry/flight.rs
+++ b/crates/core/src/entry/flight.rs
@@ -1,12 +1,12 @@
 //! A request under way at an entry.
 
-use crate::entry::ask::{Request, Chat, Payload};
+use crate::entry::ask::{Chat, Payload, Request};
 use crate::entry::routed::Terms;
 use crate::failure::Failure;
 use crate::id::*;
 use crate::pick::{Link, Prefix};
 use crate::quarantine::Fingerprint;
-use crate::route::{Choice, Context, Target, Cause};
+use crate::route::{Cause, Choice, Context, Target};
 use crate::session::Session;
 use crate::unit::Time;
 use crate::verdict::Verdict;
--- a/crates/core/src/entry/guard.rs
+++ b/crates/core/src/entry/guard.rs
@@ -116,7 +116,12 @@
             }
             out.push(Output::RecordQuarantine(news));
         }
-        out.extend(self.quarantine.take_updates().into_iter().map(Output::QuarantineReport));
+        out.extend(
+            self.quarantine
+                .take_updates()
+                .into_iter()
+                .map(Output::QuarantineUpdate),
+        );
     }
 
     /// Ends the runs of a request that is held back and that have not begun to answer, before
--- a/crates/core/src/entry/learn.rs
+++ b/crates/core/src/entry/learn.rs
@@ -102,7 +102,10 @@
         let target = cascade.target.fraction();
         let cheap = price(&self.tree, &cascade.steps.get(step)?.version);
         let dear = price(&self.tree, &cascade.steps.get(step + 1)?.version);
-        let prices = Prices { cheap, expensive: dear };
+        let prices = Prices {
+            cheap,
+            expensive: dear,
+        };
         let policy = self
             .cascades
             .entry((name.clone(), step, class))
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -24,31 +24,31 @@
 mod routed;
 mod watch;
 
-pub use ask::{Request, Chat, Part, Payload};
-pub use decision::{Decision, Forecast, History, Snapshot, Attempt};
+pub use ask::{Chat, Part, Payload, Request};
+pub use decision::{Attempt, Decision, Forecast, History, Snapshot};
 pub use routed::{Head, Member, Reply, Routed, CONFIDENCE_THRESHOLDS};
-pub use watch::{thresholds, rollout_of, Judge, Aggregate, Monitor};
+pub use watch::{rollout_of, thresholds, Aggregate, Judge, Monitor};
 
 use crate::bill::Record;
 use crate::cascade;
+use crate::failover::Outcomes;
 use crate::failure::{Failure, Reason};
 use crate::halls;
 use crate::id::*;
+use crate::invariant::{Invariant, Invariants};
+use crate::latency::Estimator;
 use crate::limit::Limits;
-use crate::failover::Outcomes;
 use crate::notice;
-use crate::pick::{Link, Constraints, Peers, Policy, Criteria};
-use crate::invariant::{Invariant, Invariants};
+use crate::pick::{Constraints, Criteria, Link, Peers, Policy};
 use crate::quarantine::{self, Fingerprint, Quarantine};
-use crate::latency::Estimator;
 use crate::release::{self, Releases};
 use crate::retry;
 use crate::retry::{Allowance, Budget};
 use crate::reuse::{Reuse, Scope};
-use crate::route::{self, Caller, Choice, Context, Target, Cause};
+use crate::route::{self, Caller, Cause, Choice, Context, Target};
+use crate::saturation::Tracker;
 use crate::session::{Keyring, Session};
 use crate::spool::{Batch, Spool};
-use crate::saturation::Tracker;
 use crate::tree::{Action, Class, Kind, Tree};
 use crate::unit::*;
 use crate::verdict::Verdict;
@@ -147,7 +147,7 @@
     /// Another entry serves a session at a release.
     SessionPin(release::Affinity),
     /// Another entry tells of requests and the upstreams that crashed under them.
-    QuarantineReport(quarantine::Update),
+    QuarantineUpdate(quarantine::Update),
     /// Another entry tells what an upstream said of itself.
     Notice(notice::Update),
     /// It is recorded that a request is held back.
@@ -233,7 +233,7 @@
     /// Tell other entries that a session stays at a release.
     SessionPin(release::Affinity),
     /// Tell other entries of requests and the upstreams that crashed under them.
-    QuarantineReport(quarantine::Update),
+    QuarantineUpdate(quarantine::Update),
     /// Tell other entries what an upstream said of itself.
     Notice(notice::Update),
     /// A request of a client account began to run.
@@ -354,9 +354,11 @@
             }
             Input::Prefill(number, reading) => self.peers.add_remote_prefill(number, reading, now),
             Input::SessionPin(stay) => self.releases.merge_affinity(stay, now),
-            Input::QuarantineReport(word) => self.take_word(now, word),
+            Input::QuarantineUpdate(word) => self.take_word(now, word),
             Input::Notice(word) => self.peers.apply_remote_notice(word, now),
-            Input::Quarantined(fingerprint, hold) => self.quarantine.restore_hold(fingerprint, hold, now),
+            Input::Quarantined(fingerprint, hold) => {
+                self.quarantine.restore_hold(fingerprint, hold, now)
+            }
             Input::QuarantineRemoved(fingerprint) => self.quarantine.remove_hold(fingerprint),
             Input::Entries(entries) => self.set_entries(&entries, now),
             Input::Evacuate(halls) => self.evacuate(now, halls),
@@ -372,7 +374,12 @@
         }
         self.tell_of_quarantine(now, &mut out);
         out.extend(self.peers.take_updates().into_iter().map(Output::Notice));
-        out.extend(self.releases.take_affinities(now).into_iter().map(Output::SessionPin));
+        out.extend(
+            self.releases
+                .take_affinities(now)
+                .into_iter()
+                .map(Output::SessionPin),
+        );
         out
     }
 
--- a/crates/core/src/entry/routed/mod.rs
+++ b/crates/core/src/entry/routed/mod.rs
@@ -12,9 +12,9 @@
 
 use super::flight::Flight;
 use super::*;
+use crate::latency::Workload;
 use crate::notice::Notice;
 use crate::pick::{Placement, Prefix};
-use crate::latency::Workload;
 use crate::tree::Route;
 use crate::wire::{Confidence, Header, Load};
 
--- a/crates/core/src/entry/routed/overdue.rs
+++ b/crates/core/src/entry/routed/overdue.rs
@@ -43,7 +43,8 @@
 
     /// Tells the releases of all runs that are waited for where releases are compared.
     fn learn_all_waiting(&mut self, now: Time) {
-        let compared = |f: &Flight| !f.headed && f.at.is_some() && self.releases.is_comparing(&f.pool);
+        let compared =
+            |f: &Flight| !f.headed && f.at.is_some() && self.releases.is_comparing(&f.pool);
         let waiting = self.flights.iter().filter(|(_, f)| compared(f));
         let mut waiting: Vec<RequestId> = waiting.map(|(request, _)| *request).collect();
         waiting.sort_unstable();
--- a/crates/core/src/entry/routed/reply.rs
+++ b/crates/core/src/entry/routed/reply.rs
@@ -37,7 +37,10 @@
                 self.routed_head(now, link, run, head, out);
             }
             Reply::Notice(notice, load) => self.hear(link, notice, load, Time::default(), now),
-            Reply::Data { data, last_event: last } => self.routed_data(run, data, last, out),
+            Reply::Data {
+                data,
+                last_event: last,
+            } => self.routed_data(run, data, last, out),
             Reply::End => self.routed_end(now, link, run, out),
             Reply::Fail(failure) => self.routed_fail(now, link, run, failure, out),
         }
--- a/crates/core/src/entry/routed/send.rs
+++ b/crates/core/src/entry/routed/send.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::pick::{self, Chosen, Constraints, Peer};
-use crate::release::{Canary, Affinity, SESSION_TTL};
+use crate::release::{Affinity, Canary, SESSION_TTL};
 use crate::wire::Metadata;
 
 /// The reading from which on other entries are told of it: it reaches them after some
--- a/crates/core/src/entry/watch.rs
+++ b/crates/core/src/entry/watch.rs
@@ -12,7 +12,7 @@
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
-use crate::evidence::{Thresholds, Detector, Evidence};
+use crate::evidence::{Detector, Evidence, Thresholds};
 use crate::id::{Incarnation, RolloutId, VersionId};
 use crate::tree::{Intent, Phase, Progress, Rollout, Tree};
 use std::collections::BTreeMap;
--- a/crates/core/src/era/mod.rs
+++ b/crates/core/src/era/mod.rs
@@ -24,11 +24,11 @@
 //! assert!(matches!(Resolution::of(Kind::Order, comparison, Local::Absent), Resolution::Retain(Some(_))));
 //! ```
 
-mod tracker;
 mod reconcile;
+mod tracker;
 
-pub use tracker::{Tracker, Freshness};
-pub use reconcile::{Backup, Resolution, Kind, Local, History, RowState, Comparison, Prior};
+pub use reconcile::{Backup, Comparison, History, Kind, Local, Prior, Resolution, RowState};
+pub use tracker::{Freshness, Tracker};
 
 use crate::error::{Category, Error, Result};
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/era/reconcile.rs
+++ b/crates/core/src/era/reconcile.rs
@@ -191,17 +191,25 @@
     /// Decides what becomes of what was known of a row.
     pub fn of(kind: Kind, standing: Comparison, known: Local) -> Resolution {
         match (kind, standing, known) {
-            (_, Comparison::Same, _) | (_, Comparison::Missing, Local::Absent) => Resolution::Replace,
+            (_, Comparison::Same, _) | (_, Comparison::Missing, Local::Absent) => {
+                Resolution::Replace
+            }
             (Kind::Configuration, Comparison::Missing, _) => Resolution::Retain(None),
             (Kind::Configuration | Kind::Upstream, _, Local::Newer) => Resolution::Retain(None),
             (Kind::Configuration, ..) => Resolution::Replace,
-            (Kind::Order, Comparison::Missing | Comparison::Outdated, _) => Resolution::Retain(Some(ORDER)),
-            (Kind::Order | Kind::Record, Comparison::Ambiguous, _) => Resolution::Retain(Some(UNSURE)),
+            (Kind::Order, Comparison::Missing | Comparison::Outdated, _) => {
+                Resolution::Retain(Some(ORDER))
+            }
+            (Kind::Order | Kind::Record, Comparison::Ambiguous, _) => {
+                Resolution::Retain(Some(UNSURE))
+            }
             (Kind::Upstream, Comparison::Missing, _) => Resolution::Retain(Some(RETURN)),
             (Kind::Upstream, Comparison::Outdated | Comparison::Ambiguous, Local::Absent) => {
                 Resolution::Retain(Some(LEASE))
             }
-            (Kind::Record, Comparison::Missing | Comparison::Outdated, _) => Resolution::Retain(None),
+            (Kind::Record, Comparison::Missing | Comparison::Outdated, _) => {
+                Resolution::Retain(None)
+            }
             _ => Resolution::Replace,
         }
     }
--- a/crates/core/src/notice/mod.rs
+++ b/crates/core/src/notice/mod.rs
@@ -18,8 +18,8 @@
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
-mod registry;
 mod limit;
+mod registry;
 
 pub use registry::Registry;
 
--- a/crates/core/src/pick/mod.rs
+++ b/crates/core/src/pick/mod.rs
@@ -18,19 +18,19 @@
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
+mod availability;
 mod backlog;
+mod impact;
 mod notices;
 mod pace;
 mod peer;
-mod impact;
 mod warmup;
-mod availability;
 
+pub use availability::Availability;
+pub use impact::Impact;
 pub use pace::Pace;
 pub use peer::{prefill_wait, Peer};
 pub(crate) use peer::{CROSS_HALL_PENALTY, PREFIX_LIFETIME};
-pub use impact::Impact;
-pub use availability::Availability;
 
 use crate::halls::Halls;
 use crate::id::{Hall, Incarnation, PoolId, Region, UpstreamId, VersionId};
@@ -403,7 +403,13 @@
     /// Returns the upstream that gets the request, if one may, and what it finds there.
     ///
     /// `draw` is a random number in `[0, 1)`.
-    pub fn choose(&mut self, wish: &Criteria, policy: Policy, now: Time, draw: f64) -> Option<Chosen> {
+    pub fn choose(
+        &mut self,
+        wish: &Criteria,
+        policy: Policy,
+        now: Time,
+        draw: f64,
+    ) -> Option<Chosen> {
         let may = |link: &Link, peer: &Peer| {
             !wish.tried.contains(link) && peer.suits(wish) && self.admits(peer, now)
         };
--- a/crates/core/src/pick/peer.rs
+++ b/crates/core/src/pick/peer.rs
@@ -2,7 +2,7 @@
 
 use super::backlog::Backlog;
 use super::pace::{Pace, Told};
-use super::{Placement, Prefix, Criteria};
+use super::{Criteria, Placement, Prefix};
 use crate::digest::mix;
 use crate::entry::Snapshot;
 use crate::id::UpstreamId;
@@ -233,7 +233,10 @@
         }
         let known = wish.prefixes.iter().rev().find(|p| self.remembers(p, now));
         let kept = known.map_or(0, |p| p.tokens);
-        let shared = wish.shared_prefix.filter(|_| is_home).map_or(0, |p| p.tokens);
+        let shared = wish
+            .shared_prefix
+            .filter(|_| is_home)
+            .map_or(0, |p| p.tokens);
         kept.max(shared).min(wish.tokens)
     }
 
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -24,10 +24,10 @@
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
-mod outcomes;
 mod fingerprint;
 mod hold;
 mod journal;
+mod outcomes;
 
 pub use fingerprint::Fingerprint;
 pub use hold::Hold;
@@ -35,8 +35,8 @@
 
 use crate::id::PoolId;
 use crate::unit::{Span, Time};
-use outcomes::Fates;
 use hold::Holds;
+use outcomes::Fates;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -413,7 +413,9 @@
     fn tell(&mut self, word: Update) {
         if let (
             Update::Crashed {
-                upstream, requests: there, ..
+                upstream,
+                requests: there,
+                ..
             },
             Some(Update::Crashed {
                 upstream: last,
--- a/crates/core/src/release/mod.rs
+++ b/crates/core/src/release/mod.rs
@@ -220,7 +220,11 @@
     /// Notes the releases present when a pool is first seen: all but one that
     /// is being moved to are taken for sound. Releases that come later without
     /// an order get work only where nothing else is left.
-    pub fn set_baseline<'a>(&mut self, pool: &PoolId, present: impl IntoIterator<Item = &'a VersionId>) {
+    pub fn set_baseline<'a>(
+        &mut self,
+        pool: &PoolId,
+        present: impl IntoIterator<Item = &'a VersionId>,
+    ) {
         if self.has_baseline(pool) {
             return;
         }
--- a/crates/core/src/release/moving.rs
+++ b/crates/core/src/release/moving.rs
@@ -2,8 +2,8 @@
 
 use super::schedule::{Schedule, Stage};
 use super::tally::{chance_of, Tally};
-use super::{Answer, Canary, Totals, Order, Report, State};
-use crate::evidence::{Thresholds, Detector, Evidence};
+use super::{Answer, Canary, Order, Report, State, Totals};
+use crate::evidence::{Detector, Evidence, Thresholds};
 use crate::id::{Hall, UpstreamId, VersionId};
 use crate::unit::{Share, Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/core/src/replication/contact.rs
+++ b/crates/core/src/replication/contact.rs
@@ -1,6 +1,6 @@
 //! What an entry knows of one that may be its source.
 
-use super::{Timeouts, Status};
+use super::{Status, Timeouts};
 use crate::unit::{Span, Time};
 
 /// How long an entry that was in vain is not asked again: at first, and at most.
@@ -116,7 +116,9 @@
         let within = |at: Option<Time>, span: Span| at.is_some_and(|at| now.since(at) <= span);
         let is_heard = within(self.heard, bounds.silence);
         match now.since(since) <= bounds.warmup {
-            _ if is_heard && !self.leaving && within(self.store, bounds.max_staleness) => Health::Fresh,
+            _ if is_heard && !self.leaving && within(self.store, bounds.max_staleness) => {
+                Health::Fresh
+            }
             true => Health::Warming,
             false if is_heard => Health::Stale,
             false => Health::Silent,
--- a/crates/core/src/reuse.rs
+++ b/crates/core/src/reuse.rs
@@ -63,7 +63,8 @@
         let share = self.new.entry(kind.clone()).or_insert(PRIOR);
         *share += (f64::from(u8::from(is_new)) - *share) / OVER;
         if self.used.len() > MOST {
-            self.used.retain(|_, last| now.since(*last) < PREFIX_LIFETIME);
+            self.used
+                .retain(|_, last| now.since(*last) < PREFIX_LIFETIME);
         }
     }
 
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -100,7 +100,11 @@
 /// # Errors
 ///
 /// Fails, not run, when the route needs an API key and this one is not known.
-pub fn identify_on_route(tree: &Tree, route: &Route, key: Option<&str>) -> Result<Context, Failure> {
+pub fn identify_on_route(
+    tree: &Tree,
+    route: &Route,
+    key: Option<&str>,
+) -> Result<Context, Failure> {
     let path = match key.and_then(|key| tree.node_of_key(key)) {
         Some(path) => path.clone(),
         None if route.public || !tree.has_keys() => NodePath::root(),
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -30,7 +30,10 @@
 }
 
 /// The sides used by the daemon.
-pub const SIZES: Sizes = Sizes { per_entry: 24, per_upstream: 4 };
+pub const SIZES: Sizes = Sizes {
+    per_entry: 24,
+    per_upstream: 4,
+};
 
 /// Returns the upstreams that entry `me` keeps links to.
 pub fn choose(
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -20,7 +20,7 @@
 use crate::id::*;
 use crate::notice;
 use crate::quarantine::Update;
-use crate::release::{Report, Affinity};
+use crate::release::{Affinity, Report};
 use crate::tree::{Change, Class};
 use crate::unit::Span;
 use crate::verdict::Verdict;
@@ -339,7 +339,7 @@
     pub sent_prompts: Vec<(u64, u32)>,
     /// The sessions that it serves and that stay at their release.
     #[serde(rename = "stays")]
-    pub pinned_sessions: Vec<Affinity>,
+    pub affinities: Vec<Affinity>,
     /// The requests that were where upstreams crashed, and what became of them.
     #[serde(default)]
     #[serde(rename = "words")]
@@ -380,7 +380,7 @@
     pub sent_prompts: Vec<(u64, u32)>,
     /// The sessions that entries serve and that stay at their release.
     #[serde(rename = "stays")]
-    pub pinned_sessions: Vec<Affinity>,
+    pub affinities: Vec<Affinity>,
     /// The requests that were where upstreams crashed, and what became of them.
     #[serde(default)]
     #[serde(rename = "words")]
--- a/crates/core/tests/common/own.rs
+++ b/crates/core/tests/common/own.rs
@@ -1,6 +1,6 @@
 //! Entries and sidecars of the own interface, before one plain service.
 
-use sorreldeck::entry::{Request, Entry, Input, Payload};
+use sorreldeck::entry::{Entry, Input, Payload, Request};
 use sorreldeck::sidecar::{Settings, Sidecar};
 use sorreldeck::wire::Call;
 use sorreldeck::{Incarnation, RequestId, Time};
--- a/crates/core/tests/duty/world.rs
+++ b/crates/core/tests/duty/world.rs
@@ -3,7 +3,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::duty::{
-    Context, Transaction, Counts, Reporter, Outcome, Report, Row, Settings, Step, Tally, Window,
+    Context, Counts, Outcome, Report, Reporter, Row, Settings, Step, Tally, Transaction, Window,
 };
 use sorreldeck::era::{Era, Stamp};
 use sorreldeck::{AccountId, Hall, Incarnation, Span, Time};
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -1,6 +1,6 @@
 //! Where prompts go that share a beginning: entries agree without talking.
 
-use sorreldeck::pick::{Link, Constraints, Peers, Placement, Policy, Prefix, Criteria};
+use sorreldeck::pick::{Constraints, Criteria, Link, Peers, Placement, Policy, Prefix};
 use sorreldeck::reuse::{Reuse, Scope};
 use sorreldeck::wire::Load;
 use sorreldeck::{Hall, PoolId, Span, Time};
--- a/crates/core/tests/latency.rs
+++ b/crates/core/tests/latency.rs
@@ -1,7 +1,7 @@
 //! How reading that is learned decides where prompts go and how long they are waited for.
 
-use sorreldeck::pick::{Link, Constraints, Peers, Policy, Criteria};
 use sorreldeck::latency::{Estimator, Workload};
+use sorreldeck::pick::{Constraints, Criteria, Link, Peers, Policy};
 use sorreldeck::reuse::Scope;
 use sorreldeck::wire::Load;
 use sorreldeck::{PoolId, Rate, Span, Time};
--- a/crates/core/tests/notice.rs
+++ b/crates/core/tests/notice.rs
@@ -1,6 +1,6 @@
 //! What is remembered of what upstreams say of themselves.
 
-use sorreldeck::notice::{Registry, Change, Notice, Update};
+use sorreldeck::notice::{Change, Notice, Registry, Update};
 use sorreldeck::warmup::Entries;
 use sorreldeck::{Rate, Span, Time};
 
--- a/crates/core/tests/policy.rs
+++ b/crates/core/tests/policy.rs
@@ -3,7 +3,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sorreldeck::evidence::{Thresholds, Detector, Evidence};
+use sorreldeck::evidence::{Detector, Evidence, Thresholds};
 use sorreldeck::lease::{Elector, Step};
 use sorreldeck::limit::{Allocator, Demand};
 use sorreldeck::queue::{Item, Next, Queue};
@@ -160,7 +160,11 @@
     let before = all(&entries, &upstreams);
     let mut cover: BTreeMap<&UpstreamId, usize> = BTreeMap::new();
     for chosen in before.values() {
-        assert!(chosen.len() <= SIZES.per_entry + 12, "{} links", chosen.len());
+        assert!(
+            chosen.len() <= SIZES.per_entry + 12,
+            "{} links",
+            chosen.len()
+        );
         for upstream in chosen {
             *cover.entry(upstream).or_default() += 1;
         }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use sorreldeck::entry::{Entry, Input, Member, Output, Reply};
 use sorreldeck::pick::{Link, Placement};
-use sorreldeck::quarantine::{Admission, Fingerprint, Hold, Change, Quarantine, Run, Update};
+use sorreldeck::quarantine::{Admission, Change, Fingerprint, Hold, Quarantine, Run, Update};
 use sorreldeck::sidecar::{self, Sidecar};
 use sorreldeck::wire::{self, Frame, Load};
 use sorreldeck::{Failure, PoolId, Reason, RequestId, Span, Time, Verdict};
@@ -51,10 +51,13 @@
 }
 
 fn held_news(quarantine: &mut Quarantine) -> Option<Hold> {
-    quarantine.take_changes().into_iter().find_map(|news| match news {
-        Change::Held(_, hold, _) => Some(hold),
-        Change::Freed(_) => None,
-    })
+    quarantine
+        .take_changes()
+        .into_iter()
+        .find_map(|news| match news {
+            Change::Held(_, hold, _) => Some(hold),
+            Change::Freed(_) => None,
+        })
 }
 
 #[test_case(2, 200, false; "two crashes")]
@@ -477,7 +480,9 @@
             load: Load::default(),
         };
         for output in entries[0].handle(now, Input::Frame(link, fail)) {
-            let Output::QuarantineReport(word) = output else { continue };
+            let Output::QuarantineUpdate(word) = output else {
+                continue;
+            };
             let words = Frame::Quarantine(vec![word]);
             for output in sidecars[0].handle(now, sidecar::Input::Frame(0, words)) {
                 if let sidecar::Output::Send(10, frame) = output {
--- a/crates/core/tests/random.rs
+++ b/crates/core/tests/random.rs
@@ -8,14 +8,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use sorreldeck::bill::{Record, Total};
-use sorreldeck::entry::{self, Request, Chat, Entry, Part, Rating, Sample, Payload};
+use sorreldeck::entry::{self, Chat, Entry, Part, Payload, Rating, Request, Sample};
 use sorreldeck::pick::Link;
 use sorreldeck::sidecar::{self, Event, Sidecar};
 use sorreldeck::tree::{Edit, Key, Section};
 use sorreldeck::wire::{Call, Confidence, Frame, Run, Usage};
 use sorreldeck::{
-    Failure, Hall, Incarnation, Invariant, Invariants, Reason, RequestId, Span, Time, Tree, Verdict,
-    VersionId,
+    Failure, Hall, Incarnation, Invariant, Invariants, Reason, RequestId, Span, Time, Tree,
+    Verdict, VersionId,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -286,10 +286,11 @@
                     }
                 }
             }
-            entry::Output::QuarantineReport(word) => {
+            entry::Output::QuarantineUpdate(word) => {
                 let wires = self.wires.values_mut().filter(|w| w.entry == i);
                 for wire in wires {
-                    wire.to_sidecar.push_back(Frame::Quarantine(vec![word.clone()]));
+                    wire.to_sidecar
+                        .push_back(Frame::Quarantine(vec![word.clone()]));
                 }
             }
             entry::Output::Forward(..)
--- a/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
+++ b/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
@@ -2,7 +2,7 @@
 //! withdrawn; the first try failed; meanwhile the version was back in service,
 //! and the second try still went to the version that the session had moved to.
 
-use sorreldeck::entry::{Request, Chat, Entry, Input, Output, Settings, Payload};
+use sorreldeck::entry::{Chat, Entry, Input, Output, Payload, Request, Settings};
 use sorreldeck::session::{Keyring, Session};
 use sorreldeck::tree::{hash_key, parse_toml, Tree};
 use sorreldeck::wire::{Frame, Load, Start, Welcome};
--- a/crates/core/tests/release.rs
+++ b/crates/core/tests/release.rs
@@ -1,6 +1,6 @@
 //! Moves to another release, as one entry sees them.
 
-use sorreldeck::release::{Answer, Order, Releases, State, Affinity, SESSION_TTL};
+use sorreldeck::release::{Affinity, Answer, Order, Releases, State, SESSION_TTL};
 use sorreldeck::{PoolId, RouteId, Share, Span, Time, UpstreamId, VersionId};
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -86,7 +86,12 @@
     /// An answer that ought to begin after `work` ms and does after `first` ms.
     fn answer_of_work(&mut self, upstream: &str, work: u64, first: u64) -> bool {
         let first = Some(Span::from_millis(first));
-        self.tell_of(upstream, Span::from_millis(work), first, Releases::record_answer)
+        self.tell_of(
+            upstream,
+            Span::from_millis(work),
+            first,
+            Releases::record_answer,
+        )
     }
 
     fn stall(&mut self, upstream: &str) -> bool {
@@ -364,7 +369,10 @@
     let (_, report) = teller.releases.take_reports().remove(0);
     for i in 0..30 {
         let entry = format!("e{i}").parse().unwrap();
-        assert!(!listener.releases.merge(&pool, entry, report.clone()), "{i}");
+        assert!(
+            !listener.releases.merge(&pool, entry, report.clone()),
+            "{i}"
+        );
     }
 }
 
--- a/crates/core/tests/warmup.rs
+++ b/crates/core/tests/warmup.rs
@@ -177,7 +177,9 @@
         for output in outputs {
             match output {
                 Output::Send(link, Frame::Start(start)) => self.run(at, link, start.run),
-                Output::QuarantineReport(word) => self.words.push((self.now + Span::from_millis(100), word)),
+                Output::QuarantineUpdate(word) => {
+                    self.words.push((self.now + Span::from_millis(100), word))
+                }
                 Output::Answer(_, sorreldeck::entry::Part::Fail(_)) => self.refused += 1,
                 _ => {}
             }
@@ -211,7 +213,7 @@
                 .partition(|(at, _)| *at <= self.now);
             self.words = later;
             for (_, word) in due as Vec<(Time, Update)> {
-                self.tell(&Input::QuarantineReport(word));
+                self.tell(&Input::QuarantineUpdate(word));
             }
             self.ask();
         }
@@ -315,11 +317,11 @@
     let reply = Input::Reply(1, run.unwrap(), Reply::Fail(lost));
     let outputs = world.entries[0].handle(world.now, reply);
     let words = outputs.into_iter().filter_map(|output| match output {
-        Output::QuarantineReport(word) => Some(word),
+        Output::QuarantineUpdate(word) => Some(word),
         _ => None,
     });
     for word in words {
-        world.entries[1].handle(world.now, Input::QuarantineReport(word));
+        world.entries[1].handle(world.now, Input::QuarantineUpdate(word));
     }
     let cold = world.entries.iter().map(|e| e.peers().cold(world.now));
     assert_eq!(cold.collect::<Vec<usize>>(), [1, 1]);
--- a/crates/daemon/src/admin/halls.rs
+++ b/crates/daemon/src/admin/halls.rs
@@ -25,10 +25,13 @@
 
 fn relief_of(room: &mut Room, hall: &Hall) -> Value {
     let peers = room.entry.peers();
-    let pools = peers.evacuation_impact(hall).into_iter().map(|relief| PoolRelief {
-        borne: relief.fits(),
-        relief,
-    });
+    let pools = peers
+        .evacuation_impact(hall)
+        .into_iter()
+        .map(|relief| PoolRelief {
+            borne: relief.fits(),
+            relief,
+        });
     let pools: Vec<PoolRelief> = pools.collect();
     json!({
         "hall": hall,
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -381,7 +381,7 @@
             Output::RequestEnded(done) => self.metrics.ended(&done),
             // Sidecars tell all entries what waits to be read.
             Output::Prefill(..) | Output::SessionPin(..) => {}
-            Output::QuarantineReport(word) => self.tell_all(&word),
+            Output::QuarantineUpdate(word) => self.tell_all(&word),
             // What is held back is remembered by the sidecars, which pass the words on.
             Output::RecordQuarantine(_) => {}
             // Only upstreams without a sidecar answer entries themselves.
--- a/crates/daemon/src/hosted/client.rs
+++ b/crates/daemon/src/hosted/client.rs
@@ -261,7 +261,11 @@
                 }
                 false => {
                     let data = data.to_vec();
-                    self.say(Reply::Data { data, last_event: None }).await;
+                    self.say(Reply::Data {
+                        data,
+                        last_event: None,
+                    })
+                    .await;
                 }
             }
         }
@@ -280,7 +284,11 @@
         let rest = pending.split_off(end + 2);
         let data = std::mem::replace(pending, rest);
         let last = call::last_event(&data);
-        self.say(Reply::Data { data, last_event: last }).await;
+        self.say(Reply::Data {
+            data,
+            last_event: last,
+        })
+        .await;
     }
 }
 
--- a/crates/daemon/src/hosted/duties.rs
+++ b/crates/daemon/src/hosted/duties.rs
@@ -3,11 +3,11 @@
 //! [`sorreldeck::duty`] decides; here stand the calls to the store and to the platform, and the
 //! lines in the log.
 
-use super::event_loop::{Message, EventLoop};
+use super::event_loop::{EventLoop, Message};
 use async_channel::Sender;
 use async_std::task;
 use log::{info, warn};
-use sorreldeck::duty::{Context, Transaction, Reporter, Outcome, Report, Row, Settings, Step};
+use sorreldeck::duty::{Context, Outcome, Report, Reporter, Row, Settings, Step, Transaction};
 use sorreldeck::era::Stamp;
 use sorreldeck::{Incarnation, Time};
 use sorreldeck_platform::store::{self, Page, Trouble};
--- a/crates/daemon/src/hosted/event_loop.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -1,15 +1,15 @@
 //! The loop of a hosted entry and what feeds it.
 
 use super::answers::Answers;
+use super::client::{self, Client};
 use super::duties::Duties;
-use super::followers::{Followers, Read, Outcome};
+use super::followers::{Followers, Outcome, Read};
 use super::holds::{Record, Recorder};
 use super::mirror::{Mirror, Update, ENTRY_PREFIX};
 use super::mover::{Mover, Proposal};
 use super::peer::{self, Peering};
 use super::relay::{self, Command, Relay};
 use super::restorer::Restorer;
-use super::client::{self, Client};
 use super::shared::{self, Shared};
 use crate::clock::{self, Clock};
 use crate::metrics::Metrics;
@@ -20,12 +20,12 @@
 use log::{info, warn};
 use sorreldeck::duty::{Context, Tally};
 use sorreldeck::entry::{
-    Request, Summary, Entry, Input, Output, Part, Reply, Settings as Decisions, Payload,
+    Entry, Input, Output, Part, Payload, Reply, Request, Settings as Decisions, Summary,
 };
 use sorreldeck::era::Freshness;
-use sorreldeck::replication::{Timeouts, Peer, Subscription};
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine::{self, Fingerprint, Hold};
+use sorreldeck::replication::{Peer, Subscription, Timeouts};
 use sorreldeck::wire::{Frame, Run};
 use sorreldeck::{
     Failure, Hall, Incarnation, InstanceId, Region, RequestId, Revision, Span, Time, UpstreamId,
@@ -554,10 +554,12 @@
                 Command::Send(link, frame) => self.peering.send(link, frame),
                 Command::Read(reading) => self.feed.read(reading),
                 Command::Poll(table) => self.ask_anew(table),
-                Command::Report(pool, hall, report) => self.handle(Input::ReleaseReport(pool, hall, report)),
+                Command::Report(pool, hall, report) => {
+                    self.handle(Input::ReleaseReport(pool, hall, report))
+                }
                 Command::Prefill(number, reading) => self.handle(Input::Prefill(number, reading)),
-                Command::Pin(stay) => self.handle(Input::SessionPin(stay)),
-                Command::Quarantine(word) => self.handle(Input::QuarantineReport(word)),
+                Command::Affinity(stay) => self.handle(Input::SessionPin(stay)),
+                Command::Quarantine(word) => self.handle(Input::QuarantineUpdate(word)),
                 Command::Notice(word) => self.handle(Input::Notice(word)),
             }
         }
@@ -880,8 +882,8 @@
             Output::Send(_, Frame::Cancel(run)) => drop(self.runs.remove(&run)),
             Output::Answer(request, part) => self.answer(request, part),
             Output::Prefill(number, reading) => self.relay.share_prefill(number, reading),
-            Output::SessionPin(stay) => self.relay.share_pin(stay, self.clock.now()),
-            Output::QuarantineReport(word) => self.relay.share_quarantine(word, self.clock.now()),
+            Output::SessionPin(stay) => self.relay.share_affinity(stay, self.clock.now()),
+            Output::QuarantineUpdate(word) => self.relay.share_quarantine(word, self.clock.now()),
             Output::Notice(word) => self.relay.share_notice(word),
             Output::RequestStarted(account) => {
                 let now = self.clock.now();
--- a/crates/daemon/src/hosted/hints.rs
+++ b/crates/daemon/src/hosted/hints.rs
@@ -48,7 +48,9 @@
     /// Returns the requests as they are told now.
     pub fn words_at(&self, now: Time) -> Vec<Update> {
         let words = self.words.iter().cloned();
-        words.map(|(word, at)| word.delayed(now.since(at))).collect()
+        words
+            .map(|(word, at)| word.delayed(now.since(at)))
+            .collect()
     }
 
     /// Puts more in line, as far as there is room.
@@ -74,8 +76,11 @@
             Command::Prefill(*number, reading)
         };
         let prompts = self.prompts.iter().map(reads);
-        let stays = self.stays.iter().cloned().map(Command::Pin);
-        let words = self.words.iter().map(|(word, _)| Command::Quarantine(word.clone()));
+        let stays = self.stays.iter().cloned().map(Command::Affinity);
+        let words = self
+            .words
+            .iter()
+            .map(|(word, _)| Command::Quarantine(word.clone()));
         let notices = self.notices.iter().copied().map(Command::Notice);
         prompts.chain(stays).chain(words).chain(notices).collect()
     }
--- a/crates/daemon/src/hosted/holds.rs
+++ b/crates/daemon/src/hosted/holds.rs
@@ -4,9 +4,9 @@
 //! later, were cut off meanwhile, or are on no way over which that is told. Each waits a moment
 //! of its own before it writes, so that mostly one does.
 
+use super::event_loop::Message;
 use super::mirror::Mirror;
 use super::mover;
-use super::event_loop::Message;
 use async_channel::Sender;
 use log::{info, warn};
 use serde::{Deserialize, Serialize};
@@ -157,7 +157,9 @@
     let Some(hold) = hold else {
         return Some(change.remove(Table::Own, &key));
     };
-    let held = mirror.rows(Table::Own).filter(|r| r.key.starts_with(HELD_PREFIX));
+    let held = mirror
+        .rows(Table::Own)
+        .filter(|r| r.key.starts_with(HELD_PREFIX));
     if version == 0 && held.count() >= MOST {
         return None;
     }
@@ -174,9 +176,13 @@
 
 /// Returns the keys of records that ended long ago, or cannot be read.
 fn ended(now: Time, mirror: &Mirror) -> Vec<String> {
-    let rows = mirror.rows(Table::Own).filter(|r| r.key.starts_with(HELD_PREFIX));
+    let rows = mirror
+        .rows(Table::Own)
+        .filter(|r| r.key.starts_with(HELD_PREFIX));
     let is_over = |value: &[u8]| {
-        let until = decode(value).ok().and_then(|r| mirror.local_time(r.until_us));
+        let until = decode(value)
+            .ok()
+            .and_then(|r| mirror.local_time(r.until_us));
         until.is_none_or(|until| now >= until + KEPT)
     };
     let over = rows.filter(|row| row.value.as_deref().is_none_or(is_over));
--- a/crates/daemon/src/hosted/mirror/mod.rs
+++ b/crates/daemon/src/hosted/mirror/mod.rs
@@ -13,12 +13,12 @@
 use self::upstreams::Start;
 use super::holds::{self, Record};
 use super::pack;
-use super::replica::{Conflict, Kept, Replica, Rows, Delta};
 use super::reconcile;
-use sorreldeck::era::{Era, Tracker, Freshness, Stamp};
-use sorreldeck::replication::{Peer, Watermark};
+use super::replica::{Conflict, Delta, Kept, Replica, Rows};
+use sorreldeck::era::{Era, Freshness, Stamp, Tracker};
 use sorreldeck::quarantine::Fingerprint;
 use sorreldeck::release::{Order, State};
+use sorreldeck::replication::{Peer, Watermark};
 use sorreldeck::wire::{Cursor, TableDelta};
 use sorreldeck::{Hall, Incarnation, Span, Time, UpstreamId};
 use sorreldeck_platform::config::{self, Configuration};
@@ -349,7 +349,8 @@
         let copy = self.tables.entry(table).or_default();
         let before = copy.stamp;
         let changes = page.rows.iter().map(|row| row.version);
-        self.watermark.advance(table as usize, page.version, changes);
+        self.watermark
+            .advance(table as usize, page.version, changes);
         let fate = |case: &Conflict<'_>| reconcile::fate(table, case);
         let mut changed = copy.apply(page, era, whole, fate);
         changed.extend(copy.merge_kept(kept));
--- a/crates/daemon/src/hosted/mirror/upstreams.rs
+++ b/crates/daemon/src/hosted/mirror/upstreams.rs
@@ -1,6 +1,6 @@
 //! What rows of upstreams mean: which may get requests, and which have left.
 
-use super::{Suspects, Mirror, Update};
+use super::{Mirror, Suspects, Update};
 use sorreldeck::{Incarnation, Span, Time};
 use sorreldeck_platform::member::{self, Listed};
 use sorreldeck_platform::Table;
--- a/crates/daemon/src/hosted/mod.rs
+++ b/crates/daemon/src/hosted/mod.rs
@@ -7,11 +7,11 @@
 //! are asked when the store is out of reach. One loop holds the state.
 
 mod answers;
-mod usage;
-mod frontend;
+mod client;
 mod duties;
+mod event_loop;
 mod followers;
-mod reports;
+mod frontend;
 mod hints;
 mod holds;
 mod log;
@@ -19,20 +19,20 @@
 mod mover;
 mod pack;
 mod peer;
+mod reconcile;
 mod relay;
 mod replica;
+mod reports;
 mod restorer;
-mod event_loop;
-mod reconcile;
-mod client;
 mod shared;
+mod usage;
 mod web;
 
+pub use event_loop::{EventLoop, Links, Message};
 pub use holds::Record;
 pub use log::start as start_log;
-pub use mirror::{Rewrite, Suspects, Ignored, Mirror, Update, Replaced, Merge, Malformed};
+pub use mirror::{Ignored, Malformed, Merge, Mirror, Replaced, Rewrite, Suspects, Update};
 pub use relay::{Command, Relay};
-pub use event_loop::{Links, Message, EventLoop};
 pub use shared::Shared;
 
 use crate::clock::{self, Clock};
--- a/crates/daemon/src/hosted/mover.rs
+++ b/crates/daemon/src/hosted/mover.rs
@@ -4,12 +4,12 @@
 //! try at once one succeeds. Each waits a moment of its own first, so that
 //! mostly one tries.
 
-use super::mirror::Mirror;
 use super::event_loop::Message;
+use super::mirror::Mirror;
 use async_channel::Sender;
 use async_std::task;
 use log::{info, warn};
-use sorreldeck::release::{Totals, Order, State};
+use sorreldeck::release::{Order, State, Totals};
 use sorreldeck::{InstanceId, Span, Time};
 use sorreldeck_platform::store::{Change, Row, MOVE};
 use sorreldeck_platform::{release, Store, Table};
@@ -109,7 +109,9 @@
             mirror.row_version(Table::Progress, &key),
             proposal.grounds
         );
-        write(change, store, tell, |result| Message::MoveRecorded(key, result));
+        write(change, store, tell, |result| {
+            Message::MoveRecorded(key, result)
+        });
     }
 
     /// Takes in what came of a write; the row itself comes with the feed.
--- a/crates/daemon/src/hosted/peer.rs
+++ b/crates/daemon/src/hosted/peer.rs
@@ -6,10 +6,10 @@
 //! tables go from entry to entry at all times are opened and taken here as well; what is
 //! said over them is [`relay`](super::relay)'s.
 
+use super::event_loop::Message;
 use super::mirror::Mirror;
 use super::pack;
 use super::replica::Kept;
-use super::event_loop::Message;
 use super::shared::Shared;
 use crate::clock;
 use async_channel::{Receiver, Sender};
@@ -19,7 +19,7 @@
 use log::{info, warn};
 use sorreldeck::era::{Era, Stamp};
 use sorreldeck::pick::Link;
-use sorreldeck::wire::{Frame, Cursor, RetainedRow, TableCopy};
+use sorreldeck::wire::{Cursor, Frame, RetainedRow, TableCopy};
 use sorreldeck::InstanceId;
 use sorreldeck_net::link::{self, Event, Keys, Outbox};
 use sorreldeck_platform::store::{Page, Row};
@@ -285,7 +285,10 @@
         Ok(open) => {
             let outbox = open.run(number, events, Arc::default());
             // The loop ends only with the process.
-            let _ = shared.send.send(Message::LinkAccepted(number, outbox)).await;
+            let _ = shared
+                .send
+                .send(Message::LinkAccepted(number, outbox))
+                .await;
         }
         Err(e) => warn!("event=link-refused error={e:?}"),
     }
--- a/crates/daemon/src/hosted/reconcile.rs
+++ b/crates/daemon/src/hosted/reconcile.rs
@@ -2,7 +2,7 @@
 //! from a copy.
 
 use super::replica::Conflict;
-use sorreldeck::era::{Resolution, Kind, Local};
+use sorreldeck::era::{Kind, Local, Resolution};
 use sorreldeck_platform::store::{Row, CONFIG};
 use sorreldeck_platform::{config, member, Table};
 
@@ -47,7 +47,7 @@
     let (Some(row), Some(other)) = (read(row), read(other)) else {
         return false;
     };
-    let is_same =
-        row.address == other.address && row.member.placement.incarnation == other.member.placement.incarnation;
+    let is_same = row.address == other.address
+        && row.member.placement.incarnation == other.member.placement.incarnation;
     is_same && row.leaving && !other.leaving
 }
--- a/crates/daemon/src/hosted/relay.rs
+++ b/crates/daemon/src/hosted/relay.rs
@@ -6,17 +6,17 @@
 //! messages to and from those, and to the entries that have the tables from here. There is
 //! no socket and no clock: frames go in, orders come out.
 
-use super::usage::Usage;
-use super::reports::Reports;
 use super::hints::{Hints, Stays};
-use super::mirror::{Mirror, Update, Merge};
+use super::mirror::{Merge, Mirror, Update};
+use super::reports::Reports;
+use super::usage::Usage;
 use sorreldeck::duty::{Tally, Update as UsageUpdate};
 use sorreldeck::era::Stamp;
-use sorreldeck::replication::{Action, Timeouts, Planner, Peer, Subscription, Status};
 use sorreldeck::notice;
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine;
-use sorreldeck::release::{Report, Affinity};
+use sorreldeck::release::{Affinity, Report};
+use sorreldeck::replication::{Action, Peer, Planner, Status, Subscription, Timeouts};
 use sorreldeck::wire::{self, Feed, Frame, TABLE_COUNT};
 use sorreldeck::{AccountId, Hall, InstanceId, PoolId, Span, Time};
 use sorreldeck_platform::Table;
@@ -57,7 +57,7 @@
     /// Take in that an entry sent an upstream a prompt that takes this long to be read.
     Prefill(u64, Span),
     /// Take in that an entry serves a session that stays at its release.
-    Pin(Affinity),
+    Affinity(Affinity),
     /// Take in what an entry tells of requests under which upstreams crashed.
     Quarantine(quarantine::Update),
     /// Take in what an upstream said of itself to another entry.
@@ -248,7 +248,7 @@
     }
 
     /// Notes that this entry serves a session that stays at its release.
-    pub fn share_pin(&mut self, stay: Affinity, now: Time) {
+    pub fn share_affinity(&mut self, stay: Affinity, now: Time) {
         let stays = vec![stay];
         self.stays.note(&stays, now);
         self.hint(Hints {
@@ -338,8 +338,9 @@
 
     /// Asks the other sources once one has told what there is, or has had the time to.
     fn ask_rest(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
-        let is_due =
-            |s: &Source| !s.asked && (mirror.has_operator_table() || now.since(s.since) >= ASK_REST);
+        let is_due = |s: &Source| {
+            !s.asked && (mirror.has_operator_table() || now.since(s.since) >= ASK_REST)
+        };
         let due = self.sources.iter().filter(|(_, s)| is_due(s));
         let due: Vec<(Link, InstanceId)> = due.map(|(l, s)| (*l, s.name.clone())).collect();
         let mut orders = Vec::new();
@@ -469,7 +470,7 @@
             tables,
             release_reports: found,
             sent_prompts: taker.hints.prompts.clone(),
-            pinned_sessions: taker.hints.stays.clone(),
+            affinities: taker.hints.stays.clone(),
             quarantine: taker.hints.words_at(now),
             notices: taker.hints.notices.clone(),
             epoch_us: self.counted.as_ref().and_then(Usage::agreed),
@@ -519,7 +520,7 @@
             }
             if told {
                 follow.sent_prompts.clone_from(&hints.prompts);
-                follow.pinned_sessions.clone_from(&hints.stays);
+                follow.affinities.clone_from(&hints.stays);
                 follow.quarantine = hints.words_at(now);
                 follow.notices.clone_from(&hints.notices);
                 was_told = true;
@@ -550,7 +551,7 @@
             reads_store: self.reads_store(),
             release_reports: Vec::new(),
             sent_prompts: Vec::new(),
-            pinned_sessions: Vec::new(),
+            affinities: Vec::new(),
             quarantine: Vec::new(),
             notices: Vec::new(),
             counts: Vec::new(),
@@ -568,7 +569,7 @@
         };
         Frame::Follow(Box::new(wire::Follow {
             cursor: Some(mirror.have()),
-            pinned_sessions: stays,
+            affinities: stays,
             ..self.present()
         }))
     }
@@ -620,8 +621,12 @@
         if is_near {
             let hints = Hints {
                 prompts: asked.sent_prompts,
-                stays: asked.pinned_sessions,
-                words: asked.quarantine.into_iter().map(|word| (word, now)).collect(),
+                stays: asked.affinities,
+                words: asked
+                    .quarantine
+                    .into_iter()
+                    .map(|word| (word, now))
+                    .collect(),
                 notices: asked.notices,
             };
             self.stays.note(&hints.stays, now);
@@ -680,8 +685,12 @@
         self.follow.record_status(&name, word, now);
         let hints = Hints {
             prompts: feed.sent_prompts,
-            stays: feed.pinned_sessions,
-            words: feed.quarantine.into_iter().map(|word| (word, now)).collect(),
+            stays: feed.affinities,
+            words: feed
+                .quarantine
+                .into_iter()
+                .map(|word| (word, now))
+                .collect(),
             notices: feed.notices,
         };
         self.stays.note(&hints.stays, now);
@@ -711,7 +720,11 @@
 
 /// Returns what a source is to be told of what was counted: all where it was told nothing yet, or
 /// else what has changed. `usage` is given where it is told of that at all.
-fn counts_for(source: &mut Source, changed: &[UsageUpdate], counted: Option<&Usage>) -> Vec<UsageUpdate> {
+fn counts_for(
+    source: &mut Source,
+    changed: &[UsageUpdate],
+    counted: Option<&Usage>,
+) -> Vec<UsageUpdate> {
     let Some(counted) = counted else {
         return Vec::new();
     };
--- a/crates/daemon/src/hosted/replica.rs
+++ b/crates/daemon/src/hosted/replica.rs
@@ -2,7 +2,7 @@
 //! they can be handed on one by one.
 
 use super::pack::{self, RowTuple};
-use sorreldeck::era::{Backup, Era, Resolution, History, RowState, Stamp, Comparison, Prior};
+use sorreldeck::era::{Backup, Comparison, Era, History, Prior, Resolution, RowState, Stamp};
 use sorreldeck::wire;
 use sorreldeck::Span;
 use sorreldeck_platform::store::{Page, Row};
@@ -231,7 +231,9 @@
                 _ => era,
             };
             match fate(&case) {
-                Resolution::Retain(left) => drop(kept.insert(key.clone(), self.as_kept(&key, left))),
+                Resolution::Retain(left) => {
+                    drop(kept.insert(key.clone(), self.as_kept(&key, left)))
+                }
                 Resolution::Replace if value(known) != value(new) => changed.push(key.clone()),
                 Resolution::Replace => {}
             }
@@ -246,7 +248,13 @@
     }
 
     /// Returns what the store holds of a row after it came back, against what was known.
-    fn standing(&self, key: &str, stored: Option<&Row>, copied: &Backup, newest: u64) -> Comparison {
+    fn standing(
+        &self,
+        key: &str,
+        stored: Option<&Row>,
+        copied: &Backup,
+        newest: u64,
+    ) -> Comparison {
         let unknown = Backup::default();
         // What was kept before is of another history than what was copied.
         let copied = match self.kept.contains_key(key) {
@@ -305,7 +313,12 @@
     }
 
     /// Takes rows of the same era in; returns the keys that changed.
-    fn merge(&mut self, rows: Vec<Row>, whole: bool, fate: impl Fn(&Conflict) -> Resolution) -> Vec<String> {
+    fn merge(
+        &mut self,
+        rows: Vec<Row>,
+        whole: bool,
+        fate: impl Fn(&Conflict) -> Resolution,
+    ) -> Vec<String> {
         let mut changed = Vec::new();
         let mut noted = BTreeSet::new();
         if whole {
--- a/crates/daemon/src/hosted/restorer.rs
+++ b/crates/daemon/src/hosted/restorer.rs
@@ -4,9 +4,9 @@
 //! at once one succeeds. Those that read the store write first, and what they wrote is heard by the
 //! others meanwhile. Where an entry is, it alone writes.
 
-use super::mirror::{Rewrite, Mirror, ENTRY_PREFIX};
-use super::mover;
 use super::event_loop::Message;
+use super::mirror::{Mirror, Rewrite, ENTRY_PREFIX};
+use super::mover;
 use async_channel::Sender;
 use log::{info, warn};
 use sorreldeck::{InstanceId, Span, Time};
--- a/crates/daemon/src/hosted/usage.rs
+++ b/crates/daemon/src/hosted/usage.rs
@@ -1,6 +1,6 @@
 //! What entries tell one another of the requests that began to run, and of the time of day.
 
-use sorreldeck::duty::{self, Update, Tally, Window};
+use sorreldeck::duty::{self, Tally, Update, Window};
 use sorreldeck::{AccountId, InstanceId, Span, Time};
 use std::collections::BTreeMap;
 
--- a/crates/daemon/src/hosted/web.rs
+++ b/crates/daemon/src/hosted/web.rs
@@ -1,6 +1,6 @@
 //! What a hosted entry tells about itself: readiness and metrics.
 
-use super::event_loop::{Message, EventLoop};
+use super::event_loop::{EventLoop, Message};
 use super::shared::Shared;
 
 /// Returns the application that tells whether callers may come.
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -50,7 +50,11 @@
     #[bpaf(long, argument("POLICY"), fallback(Policy::FirstToken))]
     pub policy: Policy,
     /// The confidence from which a small model's answer is given, for routes of rank 0, 1, and 2 and more
-    #[bpaf(long, argument("SHARE,SHARE,SHARE"), fallback(Accepted(CONFIDENCE_THRESHOLDS)))]
+    #[bpaf(
+        long,
+        argument("SHARE,SHARE,SHARE"),
+        fallback(Accepted(CONFIDENCE_THRESHOLDS))
+    )]
     pub accept: Accepted,
     /// Logs as text or json
     #[bpaf(external(log_format))]
--- a/crates/daemon/tests/counts.rs
+++ b/crates/daemon/tests/counts.rs
@@ -67,7 +67,8 @@
     let window = begin(&mut world, "h-0", 4);
     world.pass(steps(100));
     let reads = |node: &sorreldeck_sim::Node| {
-        node.peer.hall.as_str() == "h-0" && node.reading == sorreldeck::replication::Subscription::All
+        node.peer.hall.as_str() == "h-0"
+            && node.reading == sorreldeck::replication::Subscription::All
     };
     let first = world
         .nodes
--- a/crates/daemon/tests/mirror.rs
+++ b/crates/daemon/tests/mirror.rs
@@ -5,7 +5,7 @@
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
 use sorreldeck_sim::rows::{self, gone};
-use sorreldeckd::hosted::{Mirror, Update, Merge};
+use sorreldeckd::hosted::{Merge, Mirror, Update};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use test_case::test_case;
@@ -244,7 +244,10 @@
     let left: BTreeSet<String> = retired(&news).into_iter().collect();
     assert_eq!(left, BTreeSet::from(["i-0".into(), "i-1".into()]));
     assert_eq!(taker.version(Table::Upstreams), 13);
-    assert!(matches!(taker.apply_delta(delta, at(300)), Merge::Stale), "doubled");
+    assert!(
+        matches!(taker.apply_delta(delta, at(300)), Merge::Stale),
+        "doubled"
+    );
 }
 
 #[test]
--- a/crates/daemon/tests/relay/main.rs
+++ b/crates/daemon/tests/relay/main.rs
@@ -7,17 +7,17 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::era::Era;
-use sorreldeck::replication::{Timeouts, Peer, Subscription};
 use sorreldeck::notice;
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine::{self, Fingerprint};
 use sorreldeck::release::Affinity;
+use sorreldeck::replication::{Peer, Subscription, Timeouts};
 use sorreldeck::wire::Frame;
 use sorreldeck::{InstanceId, Span, Time};
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
 use sorreldeck_sim::{upstream, Node, World, LIMITS, UPSTREAMS};
-use sorreldeckd::hosted::{Mirror, Command, Relay};
+use sorreldeckd::hosted::{Command, Mirror, Relay};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 use test_case::test_case;
@@ -120,7 +120,10 @@
             let sources = node.relay.follow().sources(world.now);
             let near = sources.iter().filter(|s| hall(s) == node.peer.hall).count();
             let found = (node.reading, near, sources.len() - near);
-            let is_right = matches!(found, (Subscription::All, 0, 2) | (Subscription::Nothing, 1 | 2, 0));
+            let is_right = matches!(
+                found,
+                (Subscription::All, 0, 2) | (Subscription::Nothing, 1 | 2, 0)
+            );
             assert!(is_right, "seed {seed}: {found:?}");
         }
         let ones = world.nodes.iter().filter(|n| {
@@ -170,7 +173,10 @@
         }
     }
     world.pass(250);
-    let reading = world.nodes.iter().filter(|n| n.reading == Subscription::All);
+    let reading = world
+        .nodes
+        .iter()
+        .filter(|n| n.reading == Subscription::All);
     assert!((4..=12).contains(&reading.count()));
     let calls = world.store.calls - before;
     assert!(calls < 100, "{calls} calls in 5 s");
@@ -258,7 +264,11 @@
         .iter()
         .all(|n| n.uses.len() == UPSTREAMS as usize));
     let until = world.now + Span::from_millis(8_000);
-    for node in world.nodes.iter_mut().filter(|n| n.reading == Subscription::All) {
+    for node in world
+        .nodes
+        .iter_mut()
+        .filter(|n| n.reading == Subscription::All)
+    {
         node.alone_until = until;
         node.impaired(until);
     }
@@ -315,7 +325,7 @@
 #[test_case(4, 80; "many entries")]
 fn all_entries_are_told_of_a_session_that_stays(halls: usize, entries: usize) {
     let world = each_tells(11, halls, entries, |relay, number, now| {
-        relay.share_pin(stay(number), now);
+        relay.share_affinity(stay(number), now);
     });
     assert_all_are_told(&world, |node| node.stays.clone());
 }
@@ -405,7 +415,7 @@
     let mut world = World::new(12, 3, 30);
     world.pass(250);
     let now = world.now;
-    world.nodes[0].relay.share_pin(stay(7), now);
+    world.nodes[0].relay.share_affinity(stay(7), now);
     world.pass(15);
     let mut readers = (2..30).filter(|n| world.nodes[*n].reading == Subscription::All);
     let reader = readers.next().unwrap();
--- a/crates/daemon/tests/restore_search.rs
+++ b/crates/daemon/tests/restore_search.rs
@@ -9,7 +9,7 @@
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
 use sorreldeck_sim::rows::{config, gone, upstream};
-use sorreldeckd::hosted::{Mirror, Update, Merge};
+use sorreldeckd::hosted::{Merge, Mirror, Update};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
 use test_case::test_case;
@@ -306,7 +306,7 @@
                 Update::Config(config) => {
                     self.revision = self.revision.max(config.tree.revision().0);
                 }
-                Update::Joined(listed) => drop(self.uses.insert(listed.member.upstream.to_string())),
+                Update::Joined(row) => drop(self.uses.insert(row.member.upstream.to_string())),
                 Update::Retired(upstream) => {
                     self.uses.remove(upstream.as_str());
                     self.left.insert(upstream.to_string());
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -7,7 +7,7 @@
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
 use sorreldeck_sim::rows::{self, gone, row};
-use sorreldeckd::hosted::{Mirror, Update, Merge};
+use sorreldeckd::hosted::{Merge, Mirror, Update};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use test_case::test_case;
--- a/crates/emulator/src/crash/calls.rs
+++ b/crates/emulator/src/crash/calls.rs
@@ -2,7 +2,7 @@
 
 use super::Kind;
 use crate::routed;
-use sorreldeck::entry::{Input, Member, Routed, Payload};
+use sorreldeck::entry::{Input, Member, Payload, Routed};
 use sorreldeck::pick::{Link, Placement};
 use sorreldeck::quarantine::Fingerprint;
 use sorreldeck::RequestId;
--- a/crates/emulator/src/crash/world.rs
+++ b/crates/emulator/src/crash/world.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::entry::{Entry, Input, Output, Part, Reply};
 use sorreldeck::pick::Link;
-use sorreldeck::quarantine::{Fingerprint, Hold, Change, Update};
+use sorreldeck::quarantine::{Change, Fingerprint, Hold, Update};
 use sorreldeck::wire::{Frame, Run};
 use sorreldeck::{Failure, Reason, RequestId, Span, Time, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
@@ -176,7 +176,7 @@
                 }
             }
             Event::Back => self.back(),
-            Event::Word(entry, word) => self.tell(entry, Input::QuarantineReport(word)),
+            Event::Word(entry, word) => self.tell(entry, Input::QuarantineUpdate(word)),
             Event::Record(entry, fingerprint, hold) => {
                 let input = match hold {
                     Some(hold) => Input::Quarantined(fingerprint, hold),
@@ -281,7 +281,7 @@
                 }
             }
             Output::Answer(request, part) => self.answered(request, &part),
-            Output::QuarantineReport(word) => {
+            Output::QuarantineUpdate(word) => {
                 for other in (0..self.entries.len()).filter(|n| *n != entry) {
                     if !self.day.is_deaf {
                         let at = self.after_ms(20, 150);
--- a/crates/emulator/src/routed.rs
+++ b/crates/emulator/src/routed.rs
@@ -11,7 +11,7 @@
 //! assert_eq!(entry.in_flight(), 1);
 //! ```
 
-use sorreldeck::entry::{Request, Entry, Head, Input, Member, Reply, Routed, Settings, Payload};
+use sorreldeck::entry::{Entry, Head, Input, Member, Payload, Reply, Request, Routed, Settings};
 use sorreldeck::notice::Notice;
 use sorreldeck::pick::Placement;
 use sorreldeck::tree::parse_toml;
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -6,15 +6,15 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sorreldeck::era::Freshness;
-use sorreldeck::replication::{Timeouts, Peer, Subscription};
 use sorreldeck::notice;
 use sorreldeck::pick::Link;
 use sorreldeck::quarantine;
+use sorreldeck::replication::{Peer, Subscription, Timeouts};
 use sorreldeck::wire::{self, Frame};
 use sorreldeck::{InstanceId, Span, Time, UpstreamId};
 use sorreldeck_platform::store::Row;
 use sorreldeck_platform::Table;
-use sorreldeckd::hosted::{Mirror, Update, Command, Relay};
+use sorreldeckd::hosted::{Command, Mirror, Relay, Update};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The times within which a change must be known, as installations of some three, 30 and 100
@@ -290,7 +290,7 @@
                 Command::Poll(table) => {
                     self.nodes[node].polls[table as usize] = Poll::default();
                 }
-                Command::Pin(stay) => drop(self.nodes[node].stays.insert(stay.session)),
+                Command::Affinity(stay) => drop(self.nodes[node].stays.insert(stay.session)),
                 Command::Quarantine(word) => self.nodes[node].words.push(word),
                 Command::Notice(word) => self.nodes[node].notices.push(word),
                 Command::Report(..) | Command::Prefill(..) => {}
@@ -444,7 +444,9 @@
         let n = &self.nodes[node];
         match table {
             _ if !n.polls[table as usize].answered => Span::default(),
-            Table::Operator if n.reading == Subscription::All => n.relay.follow().timeouts().long_poll,
+            Table::Operator if n.reading == Subscription::All => {
+                n.relay.follow().timeouts().long_poll
+            }
             Table::Operator => Span::from_millis(2_500),
             _ => WAIT_OTHERS,
         }
