--- a/crates/core/src/duty/mod.rs
+++ b/crates/core/src/duty/mod.rs
@@ -1,11 +1,11 @@
-//! Duties that one entry does at a time for all: it reports to the platform what client accounts
-//! used.
+//! Tasks that one entry at a time does for the whole installation: reporting the usage of client
+//! accounts to the platform.
 //!
-//! Time is cut into windows. Each entry counts the requests that began to run in a window and
-//! tells the counts that changed to the first entries of its data hall ([`Tally`]). Those write
-//! the sums of their data hall into the platform's store. Whoever holds the lease adds them up,
-//! writes there what the window's counts are, and only then reports them: a successor finds and
-//! repeats exactly those ([`Reporter`]).
+//! Time is divided into windows. Each entry counts the requests that started in a window and sends
+//! changed counts to the first entries of its data hall ([`Tally`]). These write the sums of their
+//! data hall to the platform's store. The holder of the lease adds the sums up, writes the result
+//! to the store and only then reports it, so that a successor finds and repeats exactly the same
+//! counts ([`Reporter`]).
 //!
 //! ```
 //! use sorreldeck::duty::{Tally, Window};
@@ -35,29 +35,29 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A window of time, by its number since the origin of true time.
+/// A time window, numbered from the origin of UTC time.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Window(pub u64);
 
 impl Window {
-    /// Returns the window that holds a point in true time.
+    /// Returns the window that contains a UTC time.
     pub fn at(time: Time, length: Span) -> Window {
         Window(time.0 / length.micros().max(1))
     }
 
-    /// Returns when it ends, in true time.
+    /// Returns the end of the window in UTC.
     pub fn end(self, length: Span) -> Time {
         Time(self.0.saturating_add(1).saturating_mul(length.micros()))
     }
 
-    /// Returns the one after.
+    /// Returns the next window.
     pub fn next(self) -> Window {
         Window(self.0.saturating_add(1))
     }
 
-    /// Returns the one so many before.
+    /// Returns the window this many windows earlier.
     pub fn back(self, windows: u64) -> Window {
         Window(self.0.saturating_sub(windows))
     }
--- a/crates/core/src/duty/reporter.rs
+++ b/crates/core/src/duty/reporter.rs
@@ -1,15 +1,15 @@
-//! Who reports, which windows, and with which counts.
+//! Decides which instance reports, which windows and with which counts.
 //!
-//! One call is made at a time. Whatever is not known of a write's outcome is read before the next
-//! one, and every write of the holder is made only if the lease is as it was known, so that of two
-//! writers one succeeds.
+//! Only one call is in flight at a time. If the outcome of a write is unknown, the rows are read
+//! again before the next write. Every write of the lease holder is conditional on the version of
+//! the lease row that it last saw, so of two concurrent writers one fails.
 //!
-//! After the store came back from a copy a write of before may still be done, and its condition hold
-//! by chance. So rows under a lease of an earlier era tell nothing: of the windows that ended before
-//! the loss only those are reported whose counts this process has seen under a valid lease, or that
-//! nobody else can have settled.
+//! After the store was restored from a backup, a write sent before the restore may still be
+//! applied, and its condition may hold by coincidence. Rows under a lease of an earlier era are
+//! therefore not trusted: of the windows that ended before the restore, only those are reported
+//! whose counts this process saw under a valid lease, or that no other instance can have settled.
 
-use super::rows::{self, Holding, Rows, Settled, Sum};
+use super::rows::{self, LeaseRow, Rows, Settled, Sum};
 use super::{Counts, Row, Tally, Window};
 use crate::era::{Era, Stamp};
 use crate::id::{Hall, Incarnation, InstanceId};
@@ -17,74 +17,78 @@
 use crate::unit::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The windows that may be open at a time; older ones are given up.
-const MOST_OPEN: u64 = 24;
-/// The windows that one write settles at most: each drops the sums of its data halls, and a write
-/// holds 100 rows.
-const MOST_SETTLED: usize = 4;
-/// The rows that one write drops at most.
-const MOST_DROPPED: usize = 40;
-/// For how many windows what was settled stays in the store and in memory: a store that comes back
-/// from a copy may have lost the rows.
-const KEPT: u64 = 4;
-const KNOWN: u64 = 24;
-/// The pauses after failures: from the first to the most.
-const PAUSE_FIRST: Span = Span::from_millis(200);
-const PAUSE_MOST: Span = Span::from_millis(1_600);
-/// The shortest time that a call is given: less says nothing of a slow platform.
-const LEAST_CALL: Span = Span::from_millis(250);
-
-/// What the duty is bound by.
+/// The number of windows that may be open at a time; older ones are given up.
+const MAX_OPEN_WINDOWS: u64 = 24;
+/// The number of windows that one write may settle. Each also removes the sums of its data halls,
+/// and a transaction is limited to 100 rows.
+const MAX_SETTLED_PER_WRITE: usize = 4;
+/// The number of rows that one write may remove.
+const MAX_REMOVED_PER_WRITE: usize = 40;
+/// For how many windows the settled counts stay in the store and in memory. Memory keeps more,
+/// because a store restored from a backup may have lost the rows.
+const STORED_WINDOWS: u64 = 4;
+const CACHED_WINDOWS: u64 = 24;
+/// The shortest and the longest back-off after failures.
+const MIN_BACKOFF: Span = Span::from_millis(200);
+const MAX_BACKOFF: Span = Span::from_millis(1_600);
+/// The shortest timeout given to a call; with less, a slow platform could not be told from a failed
+/// one.
+const MIN_CALL_TIMEOUT: Span = Span::from_millis(250);
+
+/// The settings of the reporter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The instance.
+    /// This instance.
     pub instance: InstanceId,
-    /// The run of this process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Its data hall.
+    /// The data hall of this instance.
     pub hall: Hall,
     /// The length of a window.
     pub window_length: Span,
-    /// How long after its end a window is to be reported at the latest.
+    /// The time after the end of a window within which it must be reported.
     pub report_deadline: Span,
-    /// Within which time no two others may act in turn.
+    /// The lease time set by the platform: once another instance has acted, this one may act again
+    /// no sooner than this after its own last action.
     pub lease: Span,
     /// The shortest time between two reports.
     pub min_report_interval: Span,
-    /// Whether the whole installation starts for the first time, so that no lease was ever held.
+    /// Whether the whole installation starts for the first time, so that no lease can have been
+    /// held before.
     pub is_first_start: bool,
 }
 
 impl Settings {
-    /// Returns the part of the time for a report, in hundredths.
-    fn part(&self, hundredths: u64) -> Span {
-        Span::from_micros(self.report_deadline.micros() / 100 * hundredths)
+    /// Returns a percentage of the report deadline.
+    fn deadline_percent(&self, percent: u64) -> Span {
+        Span::from_micros(self.report_deadline.micros() / 100 * percent)
     }
 
-    /// Returns how long after a window the sum of a data hall is written: what entries tell of it
-    /// is there, and all that reads the store again has time to be heard.
-    fn sums_after(&self) -> Span {
-        self.part(12)
+    /// Returns the delay after a window until the sum of a data hall is written. By then the
+    /// updates of the entries have arrived, and an entry that reads the store again has had time to
+    /// announce it.
+    fn write_sums_delay(&self) -> Span {
+        self.deadline_percent(12)
     }
 
-    /// Returns how long after a window the holder reads the sums.
-    fn settles_after(&self) -> Span {
-        self.part(20)
+    /// Returns the delay after a window until the holder reads the sums.
+    fn settle_delay(&self) -> Span {
+        self.deadline_percent(20)
     }
 
-    /// Returns how long after a window the others look whether it was settled.
-    fn looks_after(&self) -> Span {
-        self.part(36)
+    /// Returns the delay after a window until the other instances check whether it was settled.
+    fn check_delay(&self) -> Span {
+        self.deadline_percent(36)
     }
 
-    /// Returns how long after a window the sums that are missing are waited for.
-    fn waits_for(&self) -> Span {
-        self.part(55)
+    /// Returns how long after a window the holder waits for missing sums.
+    fn missing_sums_timeout(&self) -> Span {
+        self.deadline_percent(55)
     }
 
     fn terms(&self) -> lease::Terms {
-        // A holder that does its work writes once a window.
-        let term = self.lease.max(self.part(60));
+        // An active holder writes once a window; the term covers the time between two writes.
+        let term = self.lease.max(self.deadline_percent(60));
         lease::Terms {
             term,
             margin: Span::from_micros(term.micros() / 6),
@@ -94,220 +98,227 @@
     }
 }
 
-/// What an entry knows of its surroundings.
+/// The inputs of one decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// Whether it reads the platform's store.
+    /// Whether this entry reads the platform's store.
     pub reads_store: bool,
-    /// Whether it is the first of its data hall to do so.
+    /// Whether it is the first entry of its data hall that does.
     pub is_hall_leader: bool,
     /// The data halls that have entries.
     pub halls: &'a BTreeSet<Hall>,
-    /// What was counted in its data hall.
+    /// The counts of its data hall.
     pub tally: &'a Tally,
-    /// True time.
+    /// The UTC time, as agreed on by the entries.
     pub utc: Time,
-    /// The time on the store's clock, where it is known.
+    /// The time on the store's clock, if known.
     pub store_time: Option<Time>,
-    /// True time less the store's clock as the entries of its data hall have it, in
-    /// microseconds.
+    /// The UTC time at the origin of the store's clock, as agreed on by the entries of the data
+    /// hall, in microseconds.
     pub epoch_us: Option<i64>,
 }
 
-/// A change of rows, made whole or not at all.
+/// An atomic write with conditions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// The versions that rows must have; 0 stands for no row.
+    /// The versions that rows must have; 0 stands for a missing row.
     pub expect: Vec<(String, u64)>,
-    /// The rows that are written.
+    /// The rows to write.
     pub put: Vec<(String, Vec<u8>)>,
-    /// The keys of rows that go.
+    /// The keys of the rows to remove.
     pub remove: Vec<String>,
 }
 
-/// A report of one window.
+/// The report of one window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The holder.
+    /// The instance that holds the lease.
     pub holder: InstanceId,
-    /// The fence.
+    /// The fencing token of the lease.
     pub fence: u64,
     /// The window.
     pub window: Window,
-    /// The requests.
+    /// The requests by client account.
     pub counts: Counts,
-    /// Within which time the call must have ended, since another may act afterwards.
+    /// The time limit of the call; another instance may act after it.
     pub timeout: Span,
 }
 
-/// What is to be done.
+/// The next action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Read all rows.
     Read,
-    /// Make a change.
+    /// Write rows.
     Write(Transaction),
     /// Report a window.
     Report(Report),
-    /// Nothing for now.
+    /// Do nothing for now.
     Rest,
 }
 
-/// What came of a report.
+/// The outcome of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The platform took it.
+    /// The platform accepted it.
     Taken,
-    /// The platform turned it away for what it says.
+    /// The platform rejected its content.
     Refused,
-    /// It may or may not have been taken.
+    /// The platform may or may not have accepted it.
     Unknown,
 }
 
-/// The decisions of one entry about duties.
+/// The state machine of one entry for usage reports.
 #[derive(Clone, Debug)]
 pub struct Reporter {
     settings: Settings,
-    keeper: Elector,
+    elector: Elector,
     rows: Rows,
-    /// Whether the rows are as they were read or written last, with nothing in doubt.
-    is_read: bool,
-    /// When they were asked for, in true time and on this process's clock.
-    read_at: Time,
-    asked_at: Time,
+    /// Whether `rows` matches the store as last read or written, with no write of unknown outcome
+    /// since.
+    is_synced: bool,
+    /// When the last read was started, in UTC and on this process's clock.
+    read_started_utc: Time,
+    read_started: Time,
     era: Era,
-    /// When this process first heard of that era, in true time.
+    /// When this process first saw that era, in UTC.
     era_since: Time,
-    /// What was ever settled, as far as it was seen here.
-    known: BTreeMap<Window, Settled>,
+    /// The settled windows seen by this process.
+    settled_cache: BTreeMap<Window, Settled>,
     /// The windows that this process reported or gave up.
-    done: BTreeSet<Window>,
+    completed: BTreeSet<Window>,
     pending: Option<Pending>,
-    paused_until: Time,
+    not_before: Time,
     failures: u32,
 }
 
-/// The call that is under way.
+/// The call in flight.
 #[derive(Clone, Debug)]
 enum Pending {
     Read,
     Sums(Vec<(Window, Sum)>),
-    Settle(Holding, BTreeMap<Window, Settled>, Vec<String>),
+    Settle(LeaseRow, BTreeMap<Window, Settled>, Vec<String>),
     Report(Window),
 }
 
 impl Reporter {
-    /// Creates the decisions of an entry that knows nothing yet.
+    /// Creates a reporter that has not read the store yet.
     pub fn new(settings: Settings) -> Reporter {
-        let own = settings.instance.clone();
-        let keeper = Elector::with_terms(own, settings.incarnation, settings.terms());
+        let instance = settings.instance.clone();
+        let elector = Elector::with_terms(instance, settings.incarnation, settings.terms());
         Reporter {
             settings,
-            keeper,
+            elector,
             rows: Rows::default(),
-            is_read: false,
-            read_at: Time::default(),
-            asked_at: Time::default(),
+            is_synced: false,
+            read_started_utc: Time::default(),
+            read_started: Time::default(),
             era: Era::default(),
             era_since: Time::default(),
-            known: BTreeMap::new(),
-            done: BTreeSet::new(),
+            settled_cache: BTreeMap::new(),
+            completed: BTreeSet::new(),
             pending: None,
-            paused_until: Time::default(),
+            not_before: Time::default(),
             failures: 0,
         }
     }
 
-    /// Returns the fence, if this entry may act now.
+    /// Returns the fencing token if this entry holds the lease now.
     pub fn fence(&self, now: Time) -> Option<u64> {
-        self.keeper.held(now).map(|(_, fence)| fence)
+        self.elector.held(now).map(|(_, fence)| fence)
     }
 
-    /// Returns true time less the store's clock as the holder has it, in microseconds.
+    /// Returns the UTC time at the origin of the store's clock as recorded by the holder, in
+    /// microseconds.
     pub fn epoch_us(&self) -> Option<i64> {
         self.rows.lease.as_ref()?.epoch_us
     }
 
-    /// Returns the last window up to which all were reported or given up.
+    /// Returns the last window up to which every window was reported or given up.
     pub fn completed_through(&self) -> Option<Window> {
         Some(self.rows.lease.as_ref()?.done)
     }
 
-    /// Returns the windows that are settled and not reported yet, as far as is known here.
+    /// Returns the number of windows that this process knows to be settled but not reported.
     pub fn unreported(&self) -> usize {
-        self.open().filter(|(_, s)| s.is_some()).count()
+        self.open_windows().filter(|(_, s)| s.is_some()).count()
     }
 
-    /// Returns what to do now. What came of it is told by [`on_read`](Reporter::on_read),
-    /// [`on_written`](Reporter::on_written) or [`on_reported`](Reporter::on_reported) before the next call.
-    pub fn next(&mut self, around: &Context, now: Time) -> Step {
-        if self.pending.is_some() || !around.reads_store || now < self.paused_until {
+    /// Returns the next action. Its outcome must be passed to [`on_read`](Reporter::on_read),
+    /// [`on_written`](Reporter::on_written), [`on_reported`](Reporter::on_reported) or
+    /// [`on_failed`](Reporter::on_failed) before the next call.
+    pub fn next(&mut self, context: &Context, now: Time) -> Step {
+        if self.pending.is_some() || !context.reads_store || now < self.not_before {
             return Step::Rest;
         }
-        if !self.is_read {
-            return self.read_now(around, now);
+        if !self.is_synced {
+            return self.start_read(context, now);
         }
         let step = self.report(now);
-        let step = step.or_else(|| self.settle(around, now));
-        let step = step.or_else(|| self.write_sums(around));
+        let step = step.or_else(|| self.settle(context, now));
+        let step = step.or_else(|| self.write_sums(context));
         if let Some(step) = step {
             return step;
         }
-        match self.is_due_to_read(around, now) {
-            true => self.read_now(around, now),
+        match self.is_due_to_read(context, now) {
+            true => self.start_read(context, now),
             false => Step::Rest,
         }
     }
 
-    fn read_now(&mut self, around: &Context, now: Time) -> Step {
-        self.read_at = around.utc;
-        self.asked_at = now;
+    fn start_read(&mut self, context: &Context, now: Time) -> Step {
+        self.read_started_utc = context.utc;
+        self.read_started = now;
         self.pending = Some(Pending::Read);
         Step::Read
     }
 
-    /// Returns whether the rows may have changed in a way that matters.
-    fn is_due_to_read(&self, around: &Context, now: Time) -> bool {
+    /// Returns whether other instances may have changed rows that affect the next action.
+    fn is_due_to_read(&self, context: &Context, now: Time) -> bool {
         let Some(done) = self.completed_through() else {
-            // Whether anybody takes the lease shows after a term.
-            return around.utc.since(self.read_at) >= self.settings.looks_after();
+            // No lease row exists yet; read again later to see whether another instance created it.
+            return context.utc.since(self.read_started_utc) >= self.settings.check_delay();
         };
-        let after = self.acts_after(now);
-        let Some(window) = self.last_ended(around.utc, after) else {
+        let after = self.action_delay(now);
+        let Some(window) = self.last_window_before(context.utc, after) else {
             return false;
         };
         let is_open = window > done && !self.rows.settled.contains_key(&window);
-        let was_read = self.read_at >= window.end(self.settings.window_length) + after;
-        match (is_open, was_read) {
+        let was_read_since =
+            self.read_started_utc >= window.end(self.settings.window_length) + after;
+        match (is_open, was_read_since) {
             (_, false) => window > done,
-            (true, true) => around.utc.since(self.read_at) >= self.settings.sums_after(),
+            (true, true) => {
+                context.utc.since(self.read_started_utc) >= self.settings.write_sums_delay()
+            }
             (false, true) => false,
         }
     }
 
-    /// Returns how long after a window this entry looks whether it is settled, and settles it.
-    fn acts_after(&self, now: Time) -> Span {
-        match self.keeper.held(now) {
-            Some(_) => self.settings.settles_after(),
-            None => self.settings.looks_after(),
+    /// Returns the delay after a window until this entry checks whether it is settled, and settles
+    /// it if it holds the lease.
+    fn action_delay(&self, now: Time) -> Span {
+        match self.elector.held(now) {
+            Some(_) => self.settings.settle_delay(),
+            None => self.settings.check_delay(),
         }
     }
 
-    /// Returns the last window that ended so long ago, in true time.
-    fn last_ended(&self, time: Time, ago: Span) -> Option<Window> {
+    /// Returns the last window that ended at least this long before a UTC time.
+    fn last_window_before(&self, time: Time, ago: Span) -> Option<Window> {
         let then = Time(time.0.checked_sub(ago.micros())?);
         let window = Window::at(then, self.settings.window_length);
         (window > Window(0)).then(|| window.back(1))
     }
 
-    /// Reports the first window that is settled and not reported.
+    /// Reports the first window that is settled but not reported.
     fn report(&mut self, now: Time) -> Option<Step> {
-        if self.is_outdated() {
+        if self.is_previous_era() {
             return None;
         }
-        let within = self.keeper.remaining(now);
-        let fence = self.fence(now).filter(|_| within >= LEAST_CALL)?;
-        let (window, counts) = self.open().find_map(|(window, settled)| {
+        let timeout = self.elector.remaining(now);
+        let fence = self.fence(now).filter(|_| timeout >= MIN_CALL_TIMEOUT)?;
+        let (window, counts) = self.open_windows().find_map(|(window, settled)| {
             let counts = settled.as_ref()?;
             Some((window, counts.clone()))
         })?;
@@ -317,64 +328,65 @@
             fence,
             window,
             counts,
-            timeout: within,
+            timeout,
         }))
     }
 
-    /// Returns the settled windows that are not finished, in order.
-    fn open(&self) -> impl Iterator<Item = (Window, &Settled)> {
+    /// Returns the settled windows after the completed ones, in order.
+    fn open_windows(&self) -> impl Iterator<Item = (Window, &Settled)> {
         let done = self.completed_through();
         let settled = self.rows.settled.iter().map(|(w, s)| (*w, s));
-        settled.filter(move |(w, _)| done.is_some_and(|d| *w > d) && !self.done.contains(w))
+        settled.filter(move |(w, _)| done.is_some_and(|d| *w > d) && !self.completed.contains(w))
     }
 
-    /// Settles the windows whose counts are there, or renews the lease where one that is settled
-    /// is still to be reported.
-    fn settle(&mut self, around: &Context, now: Time) -> Option<Step> {
-        let settled = self.to_settle(around, now);
-        let is_held = self.keeper.remaining(now) >= LEAST_CALL && !self.is_outdated();
-        let is_unreported = self.open().any(|(_, s)| s.is_some());
+    /// Settles the windows whose counts are complete, or renews the lease while a settled window is
+    /// still to be reported.
+    fn settle(&mut self, context: &Context, now: Time) -> Option<Step> {
+        let settled = self.due_windows(context, now);
+        let is_held = self.elector.remaining(now) >= MIN_CALL_TIMEOUT && !self.is_previous_era();
+        let has_unreported = self.open_windows().any(|(_, s)| s.is_some());
         let is_new = self.rows.lease.is_none();
-        if settled.is_empty() && (is_held || !is_unreported) && !is_new {
+        if settled.is_empty() && (is_held || !has_unreported) && !is_new {
             return None;
         }
-        let (lease, expect) = self.keeper.claim(around.store_time, now)?;
-        let holding = Holding {
+        let (lease, expect) = self.elector.claim(context.store_time, now)?;
+        let lease_row = LeaseRow {
             lease,
-            done: self.done_now(around.utc, &settled),
-            epoch_us: self.epoch_of_sums().or(around.epoch_us),
+            done: self.completed_window(context.utc, &settled),
+            epoch_us: self.median_epoch_us().or(context.epoch_us),
         };
-        let remove = self.outdated(holding.done);
-        let mut put = vec![(rows::LEASE.to_owned(), rows::encode(&holding))];
+        let remove = self.obsolete_keys(lease_row.done);
+        let mut put = vec![(rows::LEASE.to_owned(), rows::encode(&lease_row))];
         for (window, counts) in &settled {
             put.push((rows::settled_key(*window), rows::encode(counts)));
         }
-        let change = Transaction {
+        let transaction = Transaction {
             expect: vec![(rows::LEASE.to_owned(), expect)],
             put,
             remove: remove.clone(),
         };
-        self.pending = Some(Pending::Settle(holding, settled, remove));
-        Some(Step::Write(change))
+        self.pending = Some(Pending::Settle(lease_row, settled, remove));
+        Some(Step::Write(transaction))
     }
 
-    /// Returns the windows that are to be settled now, with their counts.
-    fn to_settle(&self, around: &Context, now: Time) -> BTreeMap<Window, Settled> {
+    /// Returns the windows to settle now, with their counts.
+    fn due_windows(&self, context: &Context, now: Time) -> BTreeMap<Window, Settled> {
         let mut settled = BTreeMap::new();
-        let last = self.last_ended(around.utc, self.acts_after(now));
+        let last = self.last_window_before(context.utc, self.action_delay(now));
         let (Some(done), Some(last)) = (self.completed_through(), last) else {
             return settled;
         };
-        let mut window = first_open(done, last);
-        let is_outdated = self.is_outdated();
-        // What is not said of windows before a loss now is taken for settled afterwards.
-        let most = match is_outdated {
-            true => MOST_OPEN as usize,
-            false => MOST_SETTLED,
+        let mut window = first_open_window(done, last);
+        let is_previous_era = self.is_previous_era();
+        // Once the lease is written in the present era, the settled rows count as valid again. That
+        // write must therefore replace those of all open windows.
+        let most = match is_previous_era {
+            true => MAX_OPEN_WINDOWS as usize,
+            false => MAX_SETTLED_PER_WRITE,
         };
         while window <= last && settled.len() < most {
-            if is_outdated || !self.rows.settled.contains_key(&window) {
-                let Some(counts) = self.counts_of(window, around, now) else {
+            if is_previous_era || !self.rows.settled.contains_key(&window) {
+                let Some(counts) = self.settlement_counts(window, context, now) else {
                     break;
                 };
                 settled.insert(window, counts);
@@ -384,22 +396,21 @@
         settled
     }
 
-    /// Returns what a window that is not settled is to be settled with; `None` while sums are
-    /// waited for.
-    fn counts_of(&self, window: Window, around: &Context, now: Time) -> Option<Settled> {
-        if let Some(known) = self.known.get(&window) {
-            return Some(known.clone());
+    /// Returns the counts to settle a window with, or `None` while sums are still missing.
+    fn settlement_counts(&self, window: Window, context: &Context, now: Time) -> Option<Settled> {
+        if let Some(settled) = self.settled_cache.get(&window) {
+            return Some(settled.clone());
         }
         let end = window.end(self.settings.window_length);
-        let is_lost = self.is_outdated() && end <= self.era_since;
-        if is_lost && self.keeper.held(now).is_none() {
-            // It may have been reported with counts that nobody knows any more.
+        let is_lost = self.is_previous_era() && end <= self.era_since;
+        if is_lost && self.elector.held(now).is_none() {
+            // The window may have been reported with counts that are lost, so it is given up.
             return Some(None);
         }
         let sums = self.rows.sums.iter().filter(|((w, _), _)| *w == window);
         let sums: BTreeMap<&Hall, &Sum> = sums.map(|((_, h), (_, s))| (h, s)).collect();
-        let is_whole = around.halls.iter().all(|hall| sums.contains_key(hall));
-        if !is_whole && around.utc < end + self.settings.waits_for() {
+        let is_complete = context.halls.iter().all(|hall| sums.contains_key(hall));
+        if !is_complete && context.utc < end + self.settings.missing_sums_timeout() {
             return None;
         }
         let mut counts = Counts::default();
@@ -409,86 +420,91 @@
             }
         }
         let own = sums.get(&self.settings.hall).map(|s| &s.counts);
-        let near = around.tally.sum(window);
+        let local = context.tally.sum(window);
         counts.add_all(
-            own.filter(|own| own.total() >= near.total())
-                .unwrap_or(&near),
+            own.filter(|own| own.total() >= local.total())
+                .unwrap_or(&local),
         );
         Some(Some(counts))
     }
 
-    /// Returns whether the rows show an era before the present one, so that what was settled last
-    /// may be lost.
-    fn is_outdated(&self) -> bool {
+    /// Returns whether the lease row is from an earlier era, so that recently settled windows may
+    /// be lost.
+    fn is_previous_era(&self) -> bool {
         let lease = self.rows.lease.as_ref();
-        lease.is_none_or(|holding| holding.lease.era < self.era)
+        lease.is_none_or(|lease_row| lease_row.lease.era < self.era)
     }
 
-    /// Returns the last window up to which all are finished, with a write that settles some.
-    fn done_now(&self, time: Time, settled: &BTreeMap<Window, Settled>) -> Window {
+    /// Returns the last window up to which every window is complete, including those that the
+    /// pending write settles.
+    fn completed_window(&self, time: Time, settled: &BTreeMap<Window, Settled>) -> Window {
         let current = Window::at(time, self.settings.window_length);
         let Some(done) = self.completed_through() else {
             return current.back(1);
         };
-        let mut done = done.max(current.back(MOST_OPEN + 1));
-        // What the store lost of this process's own work is finished all the same.
+        let mut done = done.max(current.back(MAX_OPEN_WINDOWS + 1));
+        // Windows that this process completed count as complete even if the store lost their rows.
         loop {
             let next = done.next();
             let of_row = settled.get(&next).or(self.rows.settled.get(&next));
             let is_given_up = of_row.is_some_and(|s| s.is_none());
-            if !self.done.contains(&next) && !is_given_up {
+            if !self.completed.contains(&next) && !is_given_up {
                 return done;
             }
             done = next;
         }
     }
 
-    /// Returns the keys of rows that nobody needs any more.
-    fn outdated(&self, done: Window) -> Vec<String> {
+    /// Returns the keys of rows that are no longer needed.
+    fn obsolete_keys(&self, done: Window) -> Vec<String> {
         let sums = self.rows.sums.keys().filter(|(w, _)| *w <= done);
         let sums = sums.map(|(w, hall)| rows::sum_key(*w, hall));
-        let settled = self.rows.settled.keys().filter(|w| **w < done.back(KEPT));
+        let settled = self
+            .rows
+            .settled
+            .keys()
+            .filter(|w| **w < done.back(STORED_WINDOWS));
         let settled = settled.map(|w| rows::settled_key(*w));
-        let unread = self.rows.unread.iter().filter(|key| *key != rows::LEASE);
-        let keys = unread.cloned().chain(settled).chain(sums);
-        keys.take(MOST_DROPPED).collect()
+        let unparsed = self.rows.unparsed.iter().filter(|key| *key != rows::LEASE);
+        let keys = unparsed.cloned().chain(settled).chain(sums);
+        keys.take(MAX_REMOVED_PER_WRITE).collect()
     }
 
-    /// Returns true time less the store's clock as the data halls have it.
-    fn epoch_of_sums(&self) -> Option<i64> {
+    /// Returns the UTC time at the origin of the store's clock as the median of the data halls.
+    fn median_epoch_us(&self) -> Option<i64> {
         let (last, _) = self.rows.sums.keys().next_back()?;
         let of_last = self.rows.sums.iter().filter(|((w, _), _)| w == last);
         median(of_last.filter_map(|(_, (_, sum))| sum.epoch_us).collect())
     }
 
-    /// Writes the sums of the own data hall that the store lacks.
-    fn write_sums(&mut self, around: &Context) -> Option<Step> {
-        let after = match around.is_hall_leader {
-            true => self.settings.sums_after(),
-            false => self.settings.looks_after(),
+    /// Writes the sums of this data hall that are missing from the store or too low there.
+    fn write_sums(&mut self, context: &Context) -> Option<Step> {
+        let after = match context.is_hall_leader {
+            true => self.settings.write_sums_delay(),
+            false => self.settings.check_delay(),
         };
-        let last = self.last_ended(around.utc, after)?;
+        let last = self.last_window_before(context.utc, after)?;
         let done = self.completed_through().unwrap_or(last.back(1));
         let hall = self.settings.hall.clone();
-        let mut change = Transaction::default();
+        let mut transaction = Transaction::default();
         let mut sums = Vec::new();
-        let windows = (first_open(done, last).0..=last.0).map(Window);
+        let windows = (first_open_window(done, last).0..=last.0).map(Window);
         for window in windows.filter(|w| !self.rows.settled.contains_key(w)) {
-            if sums.len() == MOST_SETTLED {
+            if sums.len() == MAX_SETTLED_PER_WRITE {
                 break;
             }
-            let place = (window, hall.clone());
-            let known = self.rows.sums.get(&place);
-            let counts = around.tally.sum(window);
-            if known.is_none_or(|(_, sum)| counts.total() > sum.counts.total()) {
+            let sum_id = (window, hall.clone());
+            let stored = self.rows.sums.get(&sum_id);
+            let counts = context.tally.sum(window);
+            if stored.is_none_or(|(_, sum)| counts.total() > sum.counts.total()) {
                 let sum = Sum {
                     counts,
-                    epoch_us: around.epoch_us,
+                    epoch_us: context.epoch_us,
                 };
                 let key = rows::sum_key(window, &hall);
-                let version = known.map_or(0, |(version, _)| *version);
-                change.expect.push((key.clone(), version));
-                change.put.push((key, rows::encode(&sum)));
+                let version = stored.map_or(0, |(version, _)| *version);
+                transaction.expect.push((key.clone(), version));
+                transaction.put.push((key, rows::encode(&sum)));
                 sums.push((window, sum));
             }
         }
@@ -496,76 +512,78 @@
             return None;
         }
         self.pending = Some(Pending::Sums(sums));
-        Some(Step::Write(change))
+        Some(Step::Write(transaction))
     }
 
-    /// Takes in all rows, and the era of the store that told them.
+    /// Handles the rows read, with the era of the store at that time.
     pub fn on_read(&mut self, era: Option<Era>, rows: Vec<Row>, now: Time) {
         self.pending = None;
         let era = era.unwrap_or(self.era);
         if era < self.era {
-            // An answer of before a loss.
+            // The answer was sent before the store was restored.
             return self.on_failed(now);
         }
-        self.hear(era, self.read_at + now.since(self.asked_at));
+        self.observe_era(era, self.read_started_utc + now.since(self.read_started));
         self.failures = 0;
-        self.is_read = true;
+        self.is_synced = true;
         self.rows = Rows::read(rows);
-        if !self.is_outdated() {
+        if !self.is_previous_era() {
             for (window, settled) in &self.rows.settled {
-                self.known.entry(*window).or_insert_with(|| settled.clone());
+                self.settled_cache
+                    .entry(*window)
+                    .or_insert_with(|| settled.clone());
             }
         }
-        while self.known.len() as u64 > KNOWN {
-            self.known.pop_first();
+        while self.settled_cache.len() as u64 > CACHED_WINDOWS {
+            self.settled_cache.pop_first();
         }
-        self.note_lease(now);
+        self.record_lease(now);
     }
 
-    fn hear(&mut self, era: Era, at: Time) {
+    fn observe_era(&mut self, era: Era, at: Time) {
         if era > self.era || self.era_since == Time::default() {
             self.era = era;
             self.era_since = at;
         }
     }
 
-    fn note_lease(&mut self, now: Time) {
+    fn record_lease(&mut self, now: Time) {
         let at = Stamp::new(self.era, self.rows.lease_version);
         let lease = self
             .rows
             .lease
             .as_ref()
-            .map(|holding| holding.lease.clone());
-        self.keeper.record(at, lease, now);
+            .map(|lease_row| lease_row.lease.clone());
+        self.elector.record(at, lease, now);
     }
 
-    /// Takes in that the call that was under way failed, or may have.
+    /// Handles a call that failed or whose outcome is unknown.
     pub fn on_failed(&mut self, now: Time) {
         self.pending = None;
-        self.is_read = false;
-        self.pause(now);
+        self.is_synced = false;
+        self.back_off(now);
     }
 
-    fn pause(&mut self, now: Time) {
-        let times = 1 << self.failures.min(8);
-        let pause = Span::from_micros(PAUSE_FIRST.micros() * times);
-        self.paused_until = now + pause.min(PAUSE_MOST);
+    fn back_off(&mut self, now: Time) {
+        let factor = 1 << self.failures.min(8);
+        let backoff = Span::from_micros(MIN_BACKOFF.micros() * factor);
+        self.not_before = now + backoff.min(MAX_BACKOFF);
         self.failures += 1;
     }
 
-    /// Takes in what came of a write: the version that the rows got, or `None` where a condition
-    /// did not hold.
-    pub fn on_written(&mut self, made: Option<Stamp>, now: Time) {
+    /// Handles the outcome of a write: the version that the rows got, or `None` if a condition did
+    /// not hold.
+    pub fn on_written(&mut self, stamp: Option<Stamp>, now: Time) {
         let Some(pending) = self.pending.take() else {
             return;
         };
-        let Some(at) = made.filter(|at| at.era >= self.era) else {
-            self.is_read = false;
+        let Some(at) = stamp.filter(|at| at.era >= self.era) else {
+            self.is_synced = false;
             return;
         };
         if at.era > self.era {
-            // What this write was based on is of before a loss.
-            self.is_read = false;
+            // The write was based on rows from before the store was restored.
+            self.is_synced = false;
             return;
         }
         self.failures = 0;
@@ -573,35 +591,35 @@
             Pending::Sums(sums) => {
                 let hall = &self.settings.hall;
                 for (window, sum) in sums {
-                    let place = (window, hall.clone());
-                    self.rows.sums.insert(place, (at.version, sum));
+                    let sum_id = (window, hall.clone());
+                    self.rows.sums.insert(sum_id, (at.version, sum));
                 }
             }
-            Pending::Settle(holding, settled, removed) => {
+            Pending::Settle(lease_row, settled, removed) => {
                 self.rows.lease_version = at.version;
-                self.rows.lease = Some(holding);
-                self.known.extend(settled.clone());
+                self.rows.lease = Some(lease_row);
+                self.settled_cache.extend(settled.clone());
                 self.rows.settled.extend(settled);
-                self.drop_rows(&removed);
-                self.note_lease(now);
+                self.remove_rows(&removed);
+                self.record_lease(now);
             }
             Pending::Read | Pending::Report(_) => {}
         }
     }
 
-    fn drop_rows(&mut self, keys: &[String]) {
+    fn remove_rows(&mut self, keys: &[String]) {
         let is_kept = |key: String| !keys.contains(&key);
         let rows = &mut self.rows;
         rows.sums
             .retain(|(w, hall), _| is_kept(rows::sum_key(*w, hall)));
         rows.settled.retain(|w, _| is_kept(rows::settled_key(*w)));
-        rows.unread.retain(|key| is_kept(key.clone()));
-        if let Some(done) = rows.lease.as_ref().map(|holding| holding.done) {
-            self.done = self.done.split_off(&done.back(KNOWN));
+        rows.unparsed.retain(|key| is_kept(key.clone()));
+        if let Some(done) = rows.lease.as_ref().map(|lease_row| lease_row.done) {
+            self.completed = self.completed.split_off(&done.back(CACHED_WINDOWS));
         }
     }
 
-    /// Takes in what came of a report.
+    /// Handles the outcome of a report.
     pub fn on_reported(&mut self, outcome: Outcome, time: Time, now: Time) {
         let Some(Pending::Report(window)) = self.pending.take() else {
             return;
@@ -609,26 +627,26 @@
         let is_late =
             time >= window.end(self.settings.window_length) + self.settings.report_deadline;
         match outcome {
-            Outcome::Taken => self.finish(window, now),
-            Outcome::Refused if is_late => self.finish(window, now),
-            Outcome::Refused | Outcome::Unknown => self.pause(now),
+            Outcome::Taken => self.complete(window, now),
+            Outcome::Refused if is_late => self.complete(window, now),
+            Outcome::Refused | Outcome::Unknown => self.back_off(now),
         }
     }
 
-    fn finish(&mut self, window: Window, now: Time) {
+    fn complete(&mut self, window: Window, now: Time) {
         self.failures = 0;
-        self.done.insert(window);
-        self.paused_until = now + self.settings.min_report_interval;
+        self.completed.insert(window);
+        self.not_before = now + self.settings.min_report_interval;
     }
 }
 
-/// Returns the first window after the finished ones that is still open; older ones are given up with
-/// the next write.
-fn first_open(done: Window, last: Window) -> Window {
-    done.next().max(last.back(MOST_OPEN - 1))
+/// Returns the first open window after the completed ones; older ones are given up with the next
+/// write.
+fn first_open_window(done: Window, last: Window) -> Window {
+    done.next().max(last.back(MAX_OPEN_WINDOWS - 1))
 }
 
-/// Returns the middle one of some numbers.
+/// Returns the median, the upper one of the two middle values for an even count.
 pub fn median(mut numbers: Vec<i64>) -> Option<i64> {
     numbers.sort_unstable();
     numbers.get(numbers.len() / 2).copied()
--- a/crates/core/src/duty/rows.rs
+++ b/crates/core/src/duty/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of duties in the platform's store.
+//! The rows that usage reporting keeps in the platform's store.
 
 use super::{Counts, Window};
 use crate::id::Hall;
@@ -9,90 +9,92 @@
 
 /// The key of the lease.
 pub const LEASE: &str = "lease";
-/// The beginnings of the keys of sums and of settled windows.
+/// The key prefixes of sums and of settled windows.
 const SUM: &str = "sum/";
 const SETTLED: &str = "settled/";
 
-/// A row as it stands in the store.
+/// A row of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// The key.
     pub key: String,
-    /// The version that it got with its last change.
+    /// The version assigned by its last change.
     pub version: u64,
     /// The value.
     pub value: Vec<u8>,
 }
 
-/// The lease, and how far the holder has come.
+/// The lease and the progress of its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct LeaseRow {
     /// The lease.
     pub lease: Lease,
-    /// The last window up to which all were reported or given up.
+    /// The last window up to which every window was reported or given up.
     pub done: Window,
-    /// True time less the store's clock, in microseconds, where it is known.
+    /// The UTC time at the origin of the store's clock, in microseconds, if known.
     #[serde(default)]
     pub epoch_us: Option<i64>,
 }
 
-/// What the entries of a data hall counted in a window.
+/// The counts of one data hall in a window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sum {
-    /// The requests.
+    /// The requests by client account.
     pub counts: Counts,
-    /// True time less the store's clock as most of them have it, in microseconds.
+    /// The UTC time at the origin of the store's clock, as the median of the data hall's entries,
+    /// in microseconds.
     #[serde(default)]
     pub epoch_us: Option<i64>,
 }
 
-/// What is reported of a window, from the first report on; `None` where it was given up.
+/// The counts of a window, fixed before its first report; `None` if the window was given up.
 pub type Settled = Option<Counts>;
 
-/// All rows, as they were read.
+/// All rows as read.
 #[derive(Clone, Debug, Default)]
 pub struct Rows {
-    /// The lease; the version is 0 where there is no row.
+    /// The version of the lease row; 0 if there is none.
     pub lease_version: u64,
-    pub lease: Option<Holding>,
+    pub lease: Option<LeaseRow>,
     pub sums: BTreeMap<(Window, Hall), (u64, Sum)>,
     pub settled: BTreeMap<Window, Settled>,
-    /// The keys of rows that say nothing to this build.
-    pub unread: Vec<String>,
+    /// The keys of rows that this build cannot parse.
+    pub unparsed: Vec<String>,
 }
 
 impl Rows {
-    /// Reads rows. What is not understood is kept apart: it is no holder, no sum and no
-    /// settled window, but for its version.
+    /// Parses rows. Rows that cannot be parsed are listed in `unparsed`; of an unparsable lease
+    /// only the version is used, and an unparsable settled window counts as given up.
     pub fn read(rows: Vec<Row>) -> Rows {
         let mut all = Rows::default();
         for row in rows {
-            if !all.take(&row) {
-                all.unread.push(row.key);
+            if !all.insert(&row) {
+                all.unparsed.push(row.key);
             }
         }
         all
     }
 
-    fn take(&mut self, row: &Row) -> bool {
+    fn insert(&mut self, row: &Row) -> bool {
         if row.key == LEASE {
             self.lease_version = row.version;
             self.lease = decode(&row.value);
             return self.lease.is_some();
         }
-        if let Some(window) = row.key.strip_prefix(SETTLED).and_then(window_of) {
-            // Other counts than those that were there must never be reported.
+        if let Some(window) = row.key.strip_prefix(SETTLED).and_then(parse_window) {
+            // An unparsable settled window must not be settled again with other counts, as it may
+            // have been reported already.
             let settled: Option<Settled> = decode(&row.value);
-            let is_read = settled.is_some();
+            let is_parsed = settled.is_some();
             self.settled.insert(window, settled.flatten());
-            return is_read;
+            return is_parsed;
         }
-        let place = row.key.strip_prefix(SUM).and_then(|s| s.split_once('/'));
-        let place = place.and_then(|(w, hall)| Some((window_of(w)?, hall.parse().ok()?)));
+        let sum_id = row.key.strip_prefix(SUM).and_then(|s| s.split_once('/'));
+        let sum_id = sum_id.and_then(|(w, hall)| Some((parse_window(w)?, hall.parse().ok()?)));
         let sum = decode(&row.value);
-        match (place, sum) {
-            (Some(place), Some(sum)) => {
-                self.sums.insert(place, (row.version, sum));
+        match (sum_id, sum) {
+            (Some(sum_id), Some(sum)) => {
+                self.sums.insert(sum_id, (row.version, sum));
                 true
             }
             _ => false,
@@ -100,7 +102,7 @@
     }
 }
 
-fn window_of(text: &str) -> Option<Window> {
+fn parse_window(text: &str) -> Option<Window> {
     text.parse().ok().map(Window)
 }
 
@@ -108,13 +110,13 @@
     serde_json::from_slice(value).ok()
 }
 
-/// Writes a value of a row.
+/// Encodes the value of a row.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Maps have texts as keys.
+    // Serialization cannot fail: all maps have string keys.
     serde_json::to_vec(value).expect("a row of duties is always JSON")
 }
 
-/// Returns the key of the sum of a data hall in a window.
+/// Returns the key of a data hall's sum for a window.
 pub fn sum_key(window: Window, hall: &Hall) -> String {
     format!("{SUM}{window:012}/{hall}")
 }
--- a/crates/core/src/duty/tally.rs
+++ b/crates/core/src/duty/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of the requests that began to run, by window and client account.
+//! Counts of started requests by window and client account.
 
 use super::Window;
 use crate::id::{AccountId, Incarnation, InstanceId};
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how many windows counts are remembered.
-const KEPT: u64 = 24;
+/// The number of windows whose counts are retained.
+const RETAINED_WINDOWS: u64 = 24;
 
-/// Requests by client account.
+/// Request counts by client account.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Counts(BTreeMap<AccountId, u64>);
@@ -31,148 +31,148 @@
         *count = count.saturating_add(requests);
     }
 
-    /// Adds all requests of others.
+    /// Adds all counts of another set.
     pub fn add_all(&mut self, others: &Counts) {
         for (account, requests) in &others.0 {
             self.add(account, *requests);
         }
     }
 
-    /// Returns the client accounts and their requests.
+    /// Returns the client accounts with their requests.
     pub fn iter(&self) -> impl Iterator<Item = (&AccountId, u64)> {
         self.0.iter().map(|(account, count)| (account, *count))
     }
 
-    /// Takes in a count that only ever rises.
+    /// Raises a count that never decreases.
     fn raise(&mut self, account: AccountId, requests: u64) {
         let count = self.0.entry(account).or_default();
         *count = requests.max(*count);
     }
 }
 
-/// What one entry counted in a window: all its requests there, of the client accounts for which
-/// that has changed.
+/// The changed counts of one entry in a window. Each is the entry's full count for that client
+/// account, not the difference.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The window.
     pub window: Window,
-    /// The run of the entry: a new one begins from 0.
+    /// The incarnation of the entry; its counts start from 0.
     #[serde(rename = "by")]
     pub incarnation: Incarnation,
-    /// The requests.
+    /// The requests by client account.
     pub counts: Vec<(AccountId, u64)>,
 }
 
-/// What an entry counted itself, and what others of its data hall told it.
+/// The counts of this entry and those received from other entries of its data hall.
 #[derive(Clone, Debug)]
 pub struct Tally {
     length: Span,
-    own: Incarnation,
-    counted: BTreeMap<Window, Counts>,
-    /// What has changed since it was told.
+    incarnation: Incarnation,
+    own_counts: BTreeMap<Window, Counts>,
+    /// The counts that changed since they were last sent.
     changed: BTreeSet<(Window, AccountId)>,
-    told: BTreeMap<Window, BTreeMap<(InstanceId, Incarnation), Counts>>,
+    peer_counts: BTreeMap<Window, BTreeMap<(InstanceId, Incarnation), Counts>>,
 }
 
 impl Tally {
-    /// Creates a tally of windows of one length.
-    pub fn new(own: Incarnation, length: Span) -> Tally {
+    /// Creates a tally of windows of the given length.
+    pub fn new(incarnation: Incarnation, length: Span) -> Tally {
         Tally {
             length,
-            own,
-            counted: BTreeMap::new(),
+            incarnation,
+            own_counts: BTreeMap::new(),
             changed: BTreeSet::new(),
-            told: BTreeMap::new(),
+            peer_counts: BTreeMap::new(),
         }
     }
 
-    /// Counts a request that began to run at a point in true time.
+    /// Counts a request that started at a UTC time.
     pub fn record(&mut self, account: &AccountId, time: Time) {
         let window = Window::at(time, self.length);
-        self.counted.entry(window).or_default().add(account, 1);
+        self.own_counts.entry(window).or_default().add(account, 1);
         self.changed.insert((window, account.clone()));
-        let least = window.back(KEPT);
+        let oldest = window.back(RETAINED_WINDOWS);
         if self
-            .counted
+            .own_counts
             .first_key_value()
-            .is_some_and(|(w, _)| *w < least)
+            .is_some_and(|(w, _)| *w < oldest)
         {
-            self.prune_before(least);
+            self.prune_before(oldest);
         }
     }
 
-    /// Returns whether anything has changed since it was told.
+    /// Returns whether counts changed since they were last sent.
     pub fn has_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Returns what has changed since it was told.
+    /// Removes and returns the counts that changed since they were last sent.
     pub fn take_changes(&mut self) -> Vec<Update> {
-        let mut parts: Vec<Update> = Vec::new();
+        let mut updates: Vec<Update> = Vec::new();
         for (window, account) in std::mem::take(&mut self.changed) {
-            let count = self.counted.get(&window).map_or(0, |c| c.of(&account));
-            match parts.last_mut().filter(|part| part.window == window) {
-                Some(part) => part.counts.push((account, count)),
-                None => parts.push(self.part(window, vec![(account, count)])),
+            let count = self.own_counts.get(&window).map_or(0, |c| c.of(&account));
+            match updates.last_mut().filter(|update| update.window == window) {
+                Some(update) => update.counts.push((account, count)),
+                None => updates.push(self.update(window, vec![(account, count)])),
             }
         }
-        parts
+        updates
     }
 
-    /// Returns all that was counted here, for an entry that was told nothing yet.
+    /// Returns all counts of this entry, for a receiver that has none yet.
     pub fn snapshot(&self) -> Vec<Update> {
-        let windows = self.counted.iter();
-        let parts = windows.map(|(window, counts)| {
+        let windows = self.own_counts.iter();
+        let updates = windows.map(|(window, counts)| {
             let counts = counts.iter().map(|(a, n)| (a.clone(), n));
-            self.part(*window, counts.collect())
+            self.update(*window, counts.collect())
         });
-        parts.collect()
+        updates.collect()
     }
 
-    fn part(&self, window: Window, counts: Vec<(AccountId, u64)>) -> Update {
+    fn update(&self, window: Window, counts: Vec<(AccountId, u64)>) -> Update {
         Update {
             window,
-            incarnation: self.own,
+            incarnation: self.incarnation,
             counts,
         }
     }
 
-    /// Takes in what another entry counted; what was told twice counts once.
-    pub fn merge(&mut self, entry: &InstanceId, parts: Vec<Update>) {
-        for part in parts {
-            let by = (entry.clone(), part.incarnation);
-            let counts = self.told.entry(part.window).or_default();
-            let counts = counts.entry(by).or_default();
-            for (account, requests) in part.counts {
+    /// Merges the counts of another entry. Merging the same update twice has no further effect.
+    pub fn merge(&mut self, entry: &InstanceId, updates: Vec<Update>) {
+        for update in updates {
+            let peer = (entry.clone(), update.incarnation);
+            let counts = self.peer_counts.entry(update.window).or_default();
+            let counts = counts.entry(peer).or_default();
+            for (account, requests) in update.counts {
                 counts.raise(account, requests);
             }
         }
-        while self.told.len() as u64 > KEPT {
-            self.told.pop_first();
+        while self.peer_counts.len() as u64 > RETAINED_WINDOWS {
+            self.peer_counts.pop_first();
         }
     }
 
-    /// Returns what all entries counted in a window, as far as it is known here.
+    /// Returns the counts of a window over all entries, as far as they have been received.
     pub fn sum(&self, window: Window) -> Counts {
-        let mut sum = self.counted.get(&window).cloned().unwrap_or_default();
-        let told = self.told.get(&window).into_iter().flatten();
-        for (_, counts) in told {
+        let mut sum = self.own_counts.get(&window).cloned().unwrap_or_default();
+        let peer_counts = self.peer_counts.get(&window).into_iter().flatten();
+        for (_, counts) in peer_counts {
             sum.add_all(counts);
         }
         sum
     }
 
-    /// Returns the counts that are kept, for a bound on them.
+    /// Returns the number of retained counts, to check that memory stays bounded.
     pub fn retained(&self) -> usize {
-        let own = self.counted.values().map(|c| c.0.len()).sum::<usize>();
-        let told = self.told.values().flat_map(|by| by.values());
-        own + told.map(|c| c.0.len()).sum::<usize>()
+        let own = self.own_counts.values().map(|c| c.0.len()).sum::<usize>();
+        let peer_counts = self.peer_counts.values().flat_map(|peer| peer.values());
+        own + peer_counts.map(|c| c.0.len()).sum::<usize>()
     }
 
-    /// Forgets the windows before one.
+    /// Removes the windows before the given one.
     pub fn prune_before(&mut self, window: Window) {
-        self.counted = self.counted.split_off(&window);
-        self.told = self.told.split_off(&window);
+        self.own_counts = self.own_counts.split_off(&window);
+        self.peer_counts = self.peer_counts.split_off(&window);
         self.changed.retain(|(of, _)| *of >= window);
     }
 }
