--- a/crates/core/src/bill.rs
+++ b/crates/core/src/bill.rs
@@ -1,10 +1,9 @@
-//! Bill records, their batches and the totals.
+//! Bill records and their totals.
 //!
-//! A record is named by its request and step, and a bill is the *set* of
-//! records: writing a batch twice, from two processes, changes no total, and a
-//! step that was tried twice is billed for one try. Records are held by the
-//! sidecar that ran the request and the entry that answered it until one of
-//! them has written them.
+//! A bill is the *set* of records, identified by request and step: writing a batch twice, from two
+//! processes, changes no total, and a step with several attempts is billed for one of them. The
+//! sidecar that ran the request and the entry that answered it both hold the record until one of
+//! them has written it.
 //!
 //! ```
 //! use sorreldeck::bill::{Record, Total};
@@ -31,25 +30,25 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What one run is billed.
+/// The billed usage and cost of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The run, by which the record is known.
+    /// The run, which identifies the record.
     pub run: Run,
-    /// The client account that pays.
+    /// The client account billed.
     pub account: AccountId,
     /// The version that ran.
     pub version: VersionId,
     /// The day, in days since 1970-01-01 UTC.
     pub day: u32,
-    /// What the run used.
+    /// The tokens used.
     pub usage: Usage,
     /// The amount.
     pub cost: Cost,
 }
 
 impl Record {
-    /// Returns the line of the bill that the record belongs to.
+    /// Returns the bill line that the record counts towards.
     pub fn line(&self) -> Line {
         Line {
             account: self.account.clone(),
@@ -59,7 +58,7 @@
     }
 }
 
-/// What a total is kept by.
+/// The key of a total.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Line {
     /// The client account.
@@ -73,7 +72,7 @@
 /// The sum of the records of one line of a bill.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Total {
-    /// The runs.
+    /// The number of steps billed.
     pub requests: u64,
     /// The prompt tokens.
     pub prompt: u64,
@@ -84,10 +83,10 @@
 }
 
 impl Total {
-    /// Adds up records, each step once however often its record appears.
+    /// Sums up records, counting each step once however often its record appears.
     ///
-    /// Of several tries of one step the first counts, so that the order in
-    /// which records are read changes nothing.
+    /// Of several attempts of one step, the one with the lowest number counts, so the order of the
+    /// records does not affect the result.
     pub fn add_up<'a>(records: impl IntoIterator<Item = &'a Record>) -> BTreeMap<Line, Total> {
         let mut firsts: BTreeMap<(RequestId, u16), &Record> = BTreeMap::new();
         for record in records {
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and the changes that led to it.
+//! The active configuration and its recent changes.
 //!
 //! ```
 //! use sorreldeck::config::{Config, Update};
@@ -20,21 +20,22 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// The changes kept to hand on; one further behind gets the whole.
-const KEPT: usize = 256;
+/// The number of changes retained for other processes; one that is further behind gets a full
+/// snapshot.
+const MAX_CHANGES: usize = 256;
 
-/// What became of a change that came in.
+/// The result of applying a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// It is in force now.
+    /// The change is now active.
     Applied,
-    /// It was in force already.
+    /// The change was already active.
     AlreadyApplied,
-    /// Changes before it are missing.
+    /// Earlier changes are missing.
     Gap,
 }
 
-/// The configuration in force and the last changes.
+/// The active configuration and its recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
     tree: Arc<Tree>,
@@ -42,22 +43,22 @@
 }
 
 impl Config {
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub fn tree(&self) -> &Arc<Tree> {
         &self.tree
     }
 
-    /// Returns the revision in force.
+    /// Returns the active revision.
     pub fn revision(&self) -> Revision {
         self.tree.revision()
     }
 
-    /// Puts a change in force if it follows directly.
+    /// Applies a change if it is the next revision.
     ///
     /// # Errors
     ///
-    /// Fails if the change breaks a rule of the tree, which an accepted one
-    /// cannot; the configuration is then as it was.
+    /// Fails if the change breaks a rule of the tree, which an accepted change cannot; the
+    /// configuration then stays as it was.
     pub fn apply(&mut self, change: &Change) -> Result<Update> {
         if change.revision <= self.revision() {
             return Ok(Update::AlreadyApplied);
@@ -67,17 +68,17 @@
         }
         self.tree = Arc::new(self.tree.apply(change)?);
         self.changes.push_back(change.clone());
-        if self.changes.len() > KEPT {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
         Ok(Update::Applied)
     }
 
-    /// Puts a whole configuration in force if it is newer.
+    /// Replaces the whole configuration if the given revision is newer.
     ///
     /// # Errors
     ///
-    /// Fails if it breaks a rule of the tree.
+    /// Fails if the entries break a rule of the tree.
     pub fn replace(&mut self, revision: Revision, entries: BTreeMap<Key, Value>) -> Result<Update> {
         if revision <= self.revision() {
             return Ok(Update::AlreadyApplied);
@@ -87,13 +88,13 @@
         Ok(Update::Applied)
     }
 
-    /// Returns all the changes that are kept, or `None` if there are none.
+    /// Returns all retained changes, or `None` if there are none.
     pub fn retained(&self) -> Option<Vec<Change>> {
         let first = self.changes.front()?;
         self.since(Revision(first.revision.0 - 1))
     }
 
-    /// Returns the changes after a revision, or `None` if they are not kept.
+    /// Returns the changes after a revision, or `None` if some of them are no longer retained.
     pub fn since(&self, revision: Revision) -> Option<Vec<Change>> {
         let first = self.changes.front().map(|c| c.revision)?;
         if revision.next() < first {
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,4 +1,4 @@
-//! The error type of the decision library.
+//! The error type of this library.
 //!
 //! ```
 //! use sorreldeck::{Category, Tree};
@@ -12,9 +12,9 @@
 /// The result of an operation of this library.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why an operation of this library failed.
+/// An error of this library.
 ///
-/// The details are opaque; [`Error::classify`] says what a caller can do about it.
+/// The details are opaque; [`Error::classify`] tells a caller how to react.
 pub struct Error(Box<Inner>);
 
 struct Inner {
@@ -23,23 +23,23 @@
     message: String,
 }
 
-/// What kind of failure an [`Error`] is.
+/// The kind of an [`Error`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Category {
-    /// The input is malformed or breaks a rule; repeating it cannot help.
+    /// The input is malformed or breaks a rule; retrying cannot help.
     Invalid,
-    /// The input was made against a state that has changed since.
+    /// The input is based on a state that has changed since.
     Conflict,
-    /// The caller may not do this.
+    /// The caller lacks permission.
     Denied,
-    /// The thing named does not exist.
+    /// The named object does not exist.
     Missing,
-    /// Something needed is out of reach for now; repeating may help.
+    /// Something required is unavailable for now; retrying may help.
     Unavailable,
 }
 
 impl Error {
-    /// Creates an error of a category with a message for people.
+    /// Creates an error with a message for humans.
     pub fn new(category: Category, message: impl Into<String>) -> Error {
         Error(Box::new(Inner {
             category,
@@ -48,7 +48,7 @@
         }))
     }
 
-    /// Creates an error about one field of a settings entry.
+    /// Creates an [`Invalid`](Category::Invalid) error about one field of a settings entry.
     pub fn at(place: impl Into<String>, message: impl Into<String>) -> Error {
         Error(Box::new(Inner {
             category: Category::Invalid,
@@ -57,12 +57,12 @@
         }))
     }
 
-    /// Returns the category of the failure.
+    /// Returns the category of the error.
     pub fn classify(&self) -> Category {
         self.0.category
     }
 
-    /// Returns the entry and field that the failure is about, where there is one.
+    /// Returns the settings entry and field that the error is about, if any.
     pub fn place(&self) -> Option<&str> {
         self.0.place.as_deref()
     }
--- a/crates/core/src/header.rs
+++ b/crates/core/src/header.rs
@@ -1,4 +1,4 @@
-//! The names of the headers that callers and upstreams see.
+//! Names of HTTP headers used with callers and upstreams.
 //!
 //! ```
 //! use sorreldeck::{header, Span};
@@ -11,18 +11,18 @@
 use crate::unit::Span;
 use crate::wire::Header;
 
-/// The session token: sent by the caller to stay on a version, and given back
-/// with every answer of a model.
+/// The session token: sent by the caller to stay on a version and returned with every answer of a
+/// model.
 pub const SESSION: &str = "x-sorreldeck-session";
 /// The route below the node of the API key, such as `summaries`.
 pub const ROUTE: &str = "x-sorreldeck-route";
-/// The class asked for: `priority`, `standard` or `bulk`.
+/// The requested class: `priority`, `standard` or `bulk`.
 pub const CLASS: &str = "x-sorreldeck-class";
 /// Set to `true` by a caller whose request must not be sent twice.
 pub const ONCE: &str = "x-sorreldeck-once";
-/// A caller's name for a request, by which a repeated one is recognised.
+/// The caller's key for a request, by which a repeated request is recognised.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The identity that sorreldeck gave the request.
+/// The identifier that sorreldeck assigned to the request.
 pub const REQUEST: &str = "x-sorreldeck-request";
 /// Whether the request ran: `not-run`, `may-have-run` or `ran`.
 pub const VERDICT: &str = "x-sorreldeck-verdict";
@@ -30,33 +30,33 @@
 pub const VERSION: &str = "x-sorreldeck-version";
 /// The upstream that answered.
 pub const UPSTREAM: &str = "x-sorreldeck-upstream";
-/// The version that the session left, where it had to move.
+/// The version that the session was moved away from, if it had to move.
 pub const SESSION_MOVED: &str = "x-sorreldeck-session-moved";
-/// The identity of a run as an engine sees it and must give back.
+/// The identifier of a run, sent to the engine, which must return it.
 pub const RUN: &str = "x-request-id";
-/// The priority of a run as an engine sees it; lower goes first.
+/// The priority of a run, sent to the engine; lower goes first.
 pub const PRIORITY: &str = "x-priority";
-/// For how long whoever turns a request away wants no other, in seconds.
+/// The time after which a rejected caller may try again, in seconds.
 pub const RETRY_AFTER: &str = "retry-after";
 
-/// The statuses with which an upstream turns a request away for now.
-const TURNED_AWAY: [u16; 2] = [429, 503];
+/// The statuses with which an upstream rejects a request temporarily.
+const RETRYABLE_STATUSES: [u16; 2] = [429, 503];
 
-/// The longest rest that is kept: nothing else would show that an upstream which names a longer
-/// one has changed its mind.
-const LONGEST_REST_S: f64 = 60.0;
+/// The longest `Retry-After` that is honoured, in seconds. A longer one is cut, because while it
+/// lasts no request is sent that would show that the upstream accepts work again.
+const MAX_RETRY_AFTER_S: f64 = 60.0;
 
-/// Reads for how long an upstream wants no requests. What is no number of seconds above 0, such as
-/// a date, counts as not said.
+/// Parses a `Retry-After` value in seconds. Anything but a number above 0, such as a date, is
+/// ignored.
 pub fn parse_retry_after(value: &str) -> Option<Span> {
     let seconds: f64 = value.trim().parse().ok()?;
-    (seconds > 0.0).then(|| Span::from_secs_f64(seconds.min(LONGEST_REST_S)))
+    (seconds > 0.0).then(|| Span::from_secs_f64(seconds.min(MAX_RETRY_AFTER_S)))
 }
 
-/// Returns for how long an upstream wants no requests by an answer that turns one away; of two
-/// times the longer counts.
+/// Returns the `Retry-After` of an answer with a status that rejects a request temporarily; of
+/// several values the longest counts.
 pub fn retry_after(status: u16, headers: &[Header]) -> Option<Span> {
-    let named = headers.iter().filter(|h| h.name == RETRY_AFTER);
-    let longest = named.filter_map(|h| parse_retry_after(&h.value)).max();
-    longest.filter(|_| TURNED_AWAY.contains(&status))
+    let values = headers.iter().filter(|h| h.name == RETRY_AFTER);
+    let longest = values.filter_map(|h| parse_retry_after(&h.value)).max();
+    longest.filter(|_| RETRYABLE_STATUSES.contains(&status))
 }
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -141,7 +141,7 @@
     "operator name"
 );
 
-/// The number of one run of a daemon, drawn at random when it starts.
+/// The identifier of one run of a daemon process, drawn at random at start.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Default,
 )]
@@ -153,14 +153,14 @@
     }
 }
 
-/// The number of an accepted configuration; every change raises it by one.
+/// The revision of an accepted configuration; every change raises it by one.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Default,
 )]
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Returns the revision that the next accepted change gets.
+    /// Returns the revision of the next accepted change.
     pub fn next(self) -> Revision {
         Revision(self.0 + 1)
     }
@@ -182,7 +182,7 @@
     }
 }
 
-/// The identity of one request: the incarnation that took it and a count.
+/// The identifier of a request: the incarnation that accepted it and a sequence number.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId {
     origin: u64,
@@ -190,12 +190,12 @@
 }
 
 impl RequestId {
-    /// Creates the identity of the `number`th request of an incarnation.
+    /// Creates the identifier of the `number`th request of an incarnation.
     pub fn new(origin: u64, number: u64) -> RequestId {
         RequestId { origin, number }
     }
 
-    /// Returns the incarnation that took the request.
+    /// Returns the incarnation that accepted the request.
     pub fn origin(self) -> Incarnation {
         Incarnation(self.origin)
     }
@@ -228,7 +228,7 @@
     }
 }
 
-/// A place in the settings tree, such as `/payroll/summaries`.
+/// A path in the settings tree, such as `/payroll/summaries`.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodePath(Arc<str>);
 
@@ -243,7 +243,7 @@
         &self.0
     }
 
-    /// Returns the node above, or `None` for the root.
+    /// Returns the parent node, or `None` for the root.
     pub fn parent(&self) -> Option<NodePath> {
         if &*self.0 == "/" {
             return None;
@@ -256,7 +256,7 @@
         })
     }
 
-    /// Returns whether this node is `branch` or lies below it.
+    /// Returns whether this node is `branch` or a descendant of it.
     pub fn is_within(&self, branch: &NodePath) -> bool {
         if &*branch.0 == "/" || self == branch {
             return true;
@@ -264,11 +264,11 @@
         self.0.starts_with(&*branch.0) && self.0.as_bytes()[branch.0.len()] == b'/'
     }
 
-    /// Returns the path of a child.
+    /// Returns the path of a child node.
     ///
     /// # Errors
     ///
-    /// The child's name must be a legal name.
+    /// Fails if the child's name is not a legal name.
     pub fn child(&self, name: &str) -> Result<NodePath> {
         match &*self.0 {
             "/" => format!("/{name}").parse(),
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Returns the nodes from the root down to this one.
+    /// Returns the nodes from the root to this one.
     pub fn lineage(&self) -> Vec<NodePath> {
         let mut nodes = vec![self.clone()];
         while let Some(parent) = nodes[nodes.len() - 1].parent() {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,7 @@
 //! Decision logic of sorreldeck, a model-aware router for versions and cascades.
 //!
-//! This library has no sockets, no clock and no global randomness: time, seeds
-//! and messages are passed in, so that the daemon, the tests and the
-//! experiments execute the same code.
+//! The library has no sockets, no clock and no global randomness. Time, seeds and messages are
+//! passed in, so the daemon, the tests and the experiments execute the same code.
 
 pub mod bill;
 pub mod cascade;
--- a/crates/core/src/unit.rs
+++ b/crates/core/src/unit.rs
@@ -1,4 +1,4 @@
-//! Quantities with their units, written as text in settings.
+//! Quantities with units, written as text in settings.
 //!
 //! ```
 //! use sorreldeck::{Rate, Share, Size, Span};
@@ -34,7 +34,7 @@
     };
 }
 
-/// Splits `12.5ms` into its number and its unit.
+/// Splits `12.5ms` into number and unit.
 fn split_unit(s: &str) -> Option<(f64, &str)> {
     let cut = s.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let number: f64 = s[..cut].parse().ok()?;
@@ -48,14 +48,14 @@
     )
 }
 
-/// A point in time: microseconds since an origin that the caller chose.
+/// A point in time, in microseconds since an origin chosen by the caller.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
 pub struct Time(pub u64);
 
 impl Time {
-    /// Returns the time that passed since `earlier`, or zero if it lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// A length of time, kept in microseconds.
+/// A duration with microsecond resolution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Span(u64);
 
@@ -202,7 +202,7 @@
 
 text_serde!(Size);
 
-/// A number of events each second.
+/// A number of events per second.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
@@ -212,7 +212,7 @@
         Rate(n.max(0.0))
     }
 
-    /// Returns the events a second.
+    /// Returns the events per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -240,7 +240,7 @@
 
 text_serde!(Rate);
 
-/// A part of a whole, from 0% to 100%.
+/// A fraction of a whole, from 0% to 100%.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Share(f64);
 
@@ -254,12 +254,12 @@
     /// Nothing.
     pub const NONE: Share = Share(0.0);
 
-    /// Creates a share of so many hundredths, 100 at most.
+    /// Creates a share from a percentage, capped at 100.
     pub const fn percent(n: u8) -> Share {
         Share(if n < 100 { n as f64 / 100.0 } else { 1.0 })
     }
 
-    /// Creates a share from a fraction, held between 0 and 1.
+    /// Creates a share from a fraction, clamped between 0 and 1.
     pub fn from_fraction(x: f64) -> Share {
         Share(x.clamp(0.0, 1.0))
     }
@@ -272,7 +272,7 @@
 
 impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Four decimals hide the noise that the conversion to per cent adds.
+        // Four decimals hide the rounding error of the conversion to per cent.
         let percent = (self.0 * 1e6).round() / 1e4;
         write!(f, "{percent}%")
     }
@@ -292,7 +292,7 @@
 
 text_serde!(Share);
 
-/// A price in millionths of a currency unit for 1,000 tokens.
+/// A price in millionths of a currency unit per 1,000 tokens.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
@@ -300,13 +300,13 @@
 pub struct Price(pub u64);
 
 impl Price {
-    /// Returns the cost of a number of tokens in nano-units of the currency.
+    /// Returns the cost of a number of tokens.
     pub fn cost(self, tokens: u64) -> Cost {
         Cost(self.0 * tokens)
     }
 }
 
-/// An amount of money in thousand-millionths of a currency unit.
+/// An amount of money in billionths of a currency unit.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
