--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -1,7 +1,7 @@
-//! The promises of sorreldeck, checked inside the running program.
+//! Invariants of sorreldeck, checked at run time.
 //!
-//! A check that fails is counted, and the caller refuses the action; the
-//! checks are on in release builds.
+//! A failed check is counted, and the caller refuses the action. The checks are active in release
+//! builds too.
 //!
 //! ```
 //! use sorreldeck::{Invariant, Invariants};
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What must always hold.
+/// A condition that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Invariant {
@@ -29,20 +29,20 @@
     BilledOnce,
     /// A caller receives the whole answer to its own request.
     WholeAnswer,
-    /// A refusal that says "not run" is true.
+    /// A refusal with the verdict "not run" is true.
     NotRun,
-    /// A request that may not be repeated runs at most once.
+    /// A request that must not be repeated runs at most once.
     AtMostOnce,
     /// A leaving upstream receives no new work after a few seconds.
     Leaving,
-    /// A planned stop cuts no request.
+    /// A planned stop interrupts no request.
     PlannedStop,
-    /// An accepted configuration is in force within seconds and never reverts.
+    /// An accepted configuration is active within seconds and never reverts.
     Configuration,
 }
 
 impl Invariant {
-    /// Every promise, in the order of the brief.
+    /// All invariants, in the order of the specification.
     pub const ALL: [Invariant; 10] = [
         Invariant::AllowedVersion,
         Invariant::Withdrawn,
@@ -79,7 +79,7 @@
     }
 }
 
-/// How often each promise was checked and found broken.
+/// The counts of checks and violations by invariant.
 #[derive(Clone, Debug, Default)]
 pub struct Invariants {
     checked: [u64; Invariant::ALL.len()],
@@ -87,23 +87,23 @@
 }
 
 impl Invariants {
-    /// Counts a check and returns whether the promise held.
+    /// Counts a check and returns whether the invariant held.
     #[must_use = "an action that would break a promise must be refused"]
-    pub fn check(&mut self, promise: Invariant, held: bool) -> bool {
-        self.checked[promise as usize] += 1;
-        if !held {
-            self.violated[promise as usize] += 1;
+    pub fn check(&mut self, invariant: Invariant, holds: bool) -> bool {
+        self.checked[invariant as usize] += 1;
+        if !holds {
+            self.violated[invariant as usize] += 1;
         }
-        held
+        holds
     }
 
-    /// Returns how often a promise was checked.
-    pub fn checked(&self, promise: Invariant) -> u64 {
-        self.checked[promise as usize]
+    /// Returns how often an invariant was checked.
+    pub fn checked(&self, invariant: Invariant) -> u64 {
+        self.checked[invariant as usize]
     }
 
-    /// Returns how often a promise was found broken.
-    pub fn violated(&self, promise: Invariant) -> u64 {
-        self.violated[promise as usize]
+    /// Returns how often an invariant was violated.
+    pub fn violated(&self, invariant: Invariant) -> u64 {
+        self.violated[invariant as usize]
     }
 }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,16 +1,15 @@
-//! A lease in the platform's table, with a fence.
+//! Leader election by a lease with a fencing token, kept in a row of the platform's store.
 //!
-//! Clocks of processes are never compared: who wants the lease watches the row
-//! and may take it over when the row has not changed for a whole term *on its
-//! own clock*. The holder stops acting a margin earlier, counted from before it
-//! sent its renewal. Acting is fenced besides: whatever the holder writes
-//! expects the row to be as it wrote it, so a holder that was paused past its
-//! term can change nothing.
+//! Clocks of processes are never compared: a candidate watches the row and may take it over when
+//! the row has not changed for a whole term *on its own clock*. The holder stops acting a margin
+//! earlier, counted from before it sent its renewal. Writes are fenced as well: every write of the
+//! holder is conditional on the lease row being as the holder wrote it, so a holder that was paused
+//! past its term can change nothing.
 //!
-//! A store that came back from a copy may show a row that is older than one by which somebody
-//! still acts. Such a row is waited on for a whole term as well, also where it is missing or
-//! this process's own. A write of before the loss may still be done and put an older row there,
-//! so the fence rises with the store's clock besides.
+//! A store that was restored from a backup may show a row that is older than the one that the
+//! current holder acts on. Such a row is waited on for a whole term as well, even if it is missing
+//! or names this process. A write sent before the restore may still be applied and bring back an
+//! older row, so the fencing token is also raised with the store's clock.
 //!
 //! ```
 //! use sorreldeck::lease::{Elector, Step};
@@ -29,7 +28,7 @@
 use crate::unit::{Span, Time};
 use serde::{Deserialize, Serialize};
 
-/// The terms of a lease in a store that never loses what it took in.
+/// The terms of a lease in a store that never loses a write.
 pub const TERMS: Terms = Terms {
     term: Span::from_millis(6000),
     margin: Span::from_millis(1000),
@@ -37,70 +36,73 @@
     is_durable: true,
 };
 
-/// The bits of a fence that hold the store's clock, in milliseconds: 34 years. Above them stands
-/// the era; fences stay below the 53 bits of whole numbers in JSON.
+/// The number of bits of a fencing token that hold the store's clock in milliseconds, enough for 34
+/// years. The era is stored above them. Tokens stay within 53 bits, the exact integers of JSON
+/// numbers.
 const CLOCK_BITS: u32 = 40;
-/// The last era that shows in a fence.
+/// The highest era that a fencing token can represent.
 const LAST_ERA: u64 = (1 << (53 - CLOCK_BITS)) - 1;
 
-/// For how long a lease holds, and who may take it when.
+/// The timing of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// How long a lease holds without renewal.
+    /// The time that a lease is valid without renewal.
     pub term: Span,
-    /// How much earlier than the term its holder stops acting.
+    /// How long before the end of the term its holder stops acting.
     pub margin: Span,
-    /// How old a lease is when its holder renews it.
+    /// The age of a lease at which its holder renews it.
     pub renew_after: Span,
-    /// Whether a row that is missing was never there, as long as the era is the first that was seen.
+    /// Whether a missing row proves that the lease was never held, as long as the store has not
+    /// been restored since the first read.
     pub is_durable: bool,
 }
 
 /// The row of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The instance that holds it.
+    /// The instance that holds the lease.
     pub holder: InstanceId,
-    /// The run of the holder.
+    /// The incarnation of the holder.
     pub incarnation: Incarnation,
-    /// The number that rises whenever the lease changes hands.
+    /// The fencing token, raised whenever the lease changes hands.
     pub fence: u64,
-    /// The count of renewals, so that each one changes the row.
+    /// The number of renewals, so that each renewal changes the row.
     pub renewals: u64,
-    /// The era of the store in which it was written.
+    /// The era of the store in which the row was written.
     #[serde(default)]
     pub era: Era,
 }
 
-/// What is to be done about a lease.
+/// The next action for a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Write this row, if its version is still `expect`; 0 stands for no row.
+    /// Write this row if the version of the stored row is still `expect`; 0 stands for a missing
+    /// row.
     Write {
         /// The row.
         lease: Lease,
-        /// The version that it must have.
+        /// The version that the stored row must have.
         expect: u64,
     },
-    /// Nothing for now.
+    /// Do nothing for now.
     Wait,
 }
 
-/// One process's view of a lease.
+/// One process's participation in the election.
 #[derive(Clone, Debug)]
 pub struct Elector {
-    me: InstanceId,
+    instance: InstanceId,
     incarnation: Incarnation,
     terms: Terms,
-    /// The era in which the row was seen first.
+    /// The era of the first read.
     first_era: Option<Era>,
-    seen: Option<Seen>,
+    observed: Option<Observed>,
     sent: Option<(Lease, Time)>,
     held: Option<Held>,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct Observed {
     at: Stamp,
     lease: Option<Lease>,
     since: Time,
@@ -114,43 +116,43 @@
 }
 
 impl Elector {
-    /// Creates a view that has seen nothing, with the usual [`TERMS`].
-    pub fn new(me: InstanceId, incarnation: Incarnation) -> Elector {
-        Elector::with_terms(me, incarnation, TERMS)
+    /// Creates a participant that has not read the row, with the default [`TERMS`].
+    pub fn new(instance: InstanceId, incarnation: Incarnation) -> Elector {
+        Elector::with_terms(instance, incarnation, TERMS)
     }
 
-    /// Creates a view that has seen nothing.
-    pub fn with_terms(me: InstanceId, incarnation: Incarnation, terms: Terms) -> Elector {
+    /// Creates a participant that has not read the row.
+    pub fn with_terms(instance: InstanceId, incarnation: Incarnation, terms: Terms) -> Elector {
         Elector {
-            me,
+            instance,
             incarnation,
             terms,
             first_era: None,
-            seen: None,
+            observed: None,
             sent: None,
             held: None,
         }
     }
 
-    /// Returns the row's stamp and the fence if this process holds the lease
-    /// and may act on it now.
+    /// Returns the row's stamp and the fencing token if this process holds the lease and may act
+    /// now.
     pub fn held(&self, now: Time) -> Option<(Stamp, u64)> {
         let held = self.held?;
         (self.remaining(now) > Span::default()).then_some((held.at, held.fence))
     }
 
-    /// Returns for how long this process may act on the lease yet.
+    /// Returns how much longer this process may act on the lease.
     pub fn remaining(&self, now: Time) -> Span {
-        let acts = self.terms.term - self.terms.margin;
+        let active = self.terms.term - self.terms.margin;
         self.held
-            .map_or(Span::default(), |held| acts - now.since(held.from))
+            .map_or(Span::default(), |held| active - now.since(held.from))
     }
 
-    /// Takes in the row as it was read and returns what is to be done: `at` is its version, 0
-    /// where there is no row.
+    /// Records the row as read and returns the next action. `at` is the version of the row, 0 if it
+    /// is missing.
     ///
-    /// A row that this process wrote itself counts as held from the time at
-    /// which the write was sent, whether or not the write was answered.
+    /// A row written by this process counts as held from the time at which the write was sent,
+    /// whether or not the write was answered.
     pub fn observe(&mut self, at: Stamp, lease: Option<Lease>, now: Time) -> Step {
         self.record(at, lease, now);
         let is_held = self.is_own() && self.held.is_some();
@@ -165,23 +167,31 @@
         }
     }
 
-    /// Takes in the row as it was read; `at` is its version, 0 where there is no row.
+    /// Records the row as read; `at` is its version, 0 if it is missing.
     pub fn record(&mut self, at: Stamp, lease: Option<Lease>, now: Time) {
         self.first_era.get_or_insert(at.era);
-        let known = self.seen.as_ref().is_some_and(|seen| seen.at == at);
-        if !known {
-            self.seen = Some(Seen {
+        let is_unchanged = self
+            .observed
+            .as_ref()
+            .is_some_and(|observed| observed.at == at);
+        if !is_unchanged {
+            self.observed = Some(Observed {
                 at,
                 lease,
                 since: now,
             });
         }
-        let Some(lease) = self.seen.as_ref().and_then(|seen| seen.lease.as_ref()) else {
+        let Some(lease) = self
+            .observed
+            .as_ref()
+            .and_then(|observed| observed.lease.as_ref())
+        else {
             return;
         };
         let is_current = lease.era >= at.era;
         match &self.sent {
-            // Done only after the store came back, it has a fence that was given out before.
+            // A row of an earlier era, written late after a restore, would carry a fencing token
+            // that was already used.
             Some((sent, from)) if sent == lease && is_current => {
                 self.held = Some(Held {
                     at,
@@ -189,22 +199,22 @@
                     from: *from,
                 });
             }
-            // One of an earlier era says nothing of who holds it now.
+            // A row of an earlier era does not show who holds the lease now.
             _ if !self.is_own() && is_current => self.held = None,
             _ => {}
         }
     }
 
-    /// Returns the row that takes or renews the lease, and the version that it must have; `None`
-    /// where another process may hold it. `clock` is the time on the store's clock; fences count
-    /// from 1 where there is none.
+    /// Returns the row that takes or renews the lease and the version that the stored row must
+    /// have, or `None` while another process may hold it. `clock` is the time on the store's clock;
+    /// without it, fencing tokens count from 1.
     pub fn claim(&mut self, clock: Option<Time>, now: Time) -> Option<(Lease, u64)> {
-        let seen = self.seen.as_ref()?;
-        let at = seen.at;
-        let is_current = seen.lease.as_ref().is_some_and(|l| l.era >= at.era);
-        let is_lapsed = now.since(seen.since) > self.terms.term;
-        let is_kept = self.terms.is_durable && self.first_era == Some(at.era);
-        let is_new = seen.lease.is_none() && is_kept;
+        let observed = self.observed.as_ref()?;
+        let at = observed.at;
+        let is_current = observed.lease.as_ref().is_some_and(|l| l.era >= at.era);
+        let is_lapsed = now.since(observed.since) > self.terms.term;
+        let is_durable = self.terms.is_durable && self.first_era == Some(at.era);
+        let is_new = observed.lease.is_none() && is_durable;
         let holds = match is_current {
             true => self.is_own(),
             false => self.held(now).is_some(),
@@ -212,7 +222,7 @@
         if !holds && !is_lapsed && !is_new {
             return None;
         }
-        let last = seen.lease.as_ref();
+        let last = observed.lease.as_ref();
         let fence = match last {
             Some(last) if holds && is_current => last.fence,
             _ => next_fence(last.map_or(0, |last| last.fence), at.era, clock),
@@ -220,7 +230,7 @@
         let renewals = last.map_or(0, |last| last.renewals);
         let sent = self.sent.as_ref().map_or(0, |(sent, _)| sent.renewals);
         let lease = Lease {
-            holder: self.me.clone(),
+            holder: self.instance.clone(),
             incarnation: self.incarnation,
             fence,
             renewals: renewals.max(sent) + 1,
@@ -230,14 +240,18 @@
         Some((lease, at.version))
     }
 
-    /// Returns whether the row that was seen is of this process.
+    /// Returns whether the last row read was written by this process.
     fn is_own(&self) -> bool {
-        let lease = self.seen.as_ref().and_then(|seen| seen.lease.as_ref());
-        lease.is_some_and(|l| l.holder == self.me && l.incarnation == self.incarnation)
+        let lease = self
+            .observed
+            .as_ref()
+            .and_then(|observed| observed.lease.as_ref());
+        lease.is_some_and(|l| l.holder == self.instance && l.incarnation == self.incarnation)
     }
 }
 
-/// Returns the fence after one, above all that were given out earlier on the store's clock.
+/// Returns a fencing token above `last` and above all tokens given out earlier on the store's
+/// clock.
 fn next_fence(last: u64, era: Era, clock: Option<Time>) -> u64 {
     let era = era.0.min(LAST_ERA) << CLOCK_BITS;
     let clock = clock.map_or(0, |clock| clock.0 / 1_000 % (1 << CLOCK_BITS));
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -1,12 +1,11 @@
-//! Rate limits of client accounts, held across entries without a counter in the
-//! platform's table.
+//! Rate limits of client accounts, enforced across entries without a counter in the platform's
+//! store.
 //!
-//! Each limited client account has a *home*: the sidecar that ranks highest for
-//! its name. Entries tell the home their demand once a second and get a share
-//! of the limit. Shares of entries that have not spoken yet count as given, so
-//! the shares handed out never add up to more than the whole, or 1.1 of it while
-//! the entries together use less than the limit though more is asked for: an
-//! entry whose arrivals bunch cannot use all of its share.
+//! Each limited client account has a *home*: the sidecar that ranks highest for its name by
+//! rendezvous hashing. Entries report their demand to the home and get a share of the limit. Shares
+//! of entries that have not reported yet count as given out, so all shares together never exceed
+//! the limit. They may reach 1.1 times the limit while the entries use less than the limit though
+//! their demand exceeds it, because an entry with bursty arrivals cannot use all of its share.
 //!
 //! ```
 //! use sorreldeck::limit::Bucket;
@@ -25,25 +24,25 @@
 use crate::unit::{Rate, Span, Time};
 use std::collections::{BTreeMap, HashMap};
 
-/// How much of a second's rate can be saved up.
+/// The capacity of a bucket, in seconds of its rate.
 const BURST: f64 = 1.0;
-/// How often an entry reports its demand.
+/// The interval between reports of an entry's demand.
 pub const REPORT_EVERY: Span = Span::from_millis(500);
-/// How long a share holds that is not renewed.
+/// How long a share is valid without renewal.
 pub const GRANT_TTL: Span = Span::from_millis(5000);
-/// The part of a limit that is spread evenly, so that an entry whose traffic
-/// begins does not have to wait for its first share.
-const EVEN_PART: f64 = 0.06;
-/// How much more than its mean demand an entry is given where there is enough,
-/// since arrivals bunch.
+/// The fraction of a limit that is split evenly, so that an entry whose traffic starts does not
+/// have to wait for its first share.
+const EVEN_FRACTION: f64 = 0.06;
+/// The factor on an entry's mean demand by which its share is sized while the limit suffices, to
+/// absorb bursts.
 const HEADROOM: f64 = 1.05;
-/// The largest sum of the shares, and how fast it follows what goes unused.
-const MOST_SHARES: f64 = 1.1;
-const SHARES_GAIN: f64 = 0.1;
-/// The weight of the newest report in the running mean of the demand.
+/// The largest sum of all shares, and the gain by which the sum follows the unused part.
+const MAX_SHARE_SUM: f64 = 1.1;
+const SHARE_SUM_GAIN: f64 = 0.1;
+/// The weight of the newest report in the moving average of the demand.
 const DEMAND_GAIN: f64 = 0.25;
 
-/// A token bucket that may be overdrawn by charges known only afterwards.
+/// A token bucket that can be overdrawn by charges known only afterwards.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     rate: Rate,
@@ -61,18 +60,19 @@
         }
     }
 
-    /// Changes the rate from now on.
+    /// Changes the rate from `now` on.
     pub fn set_rate(&mut self, rate: Rate, now: Time) {
         self.fill(now);
         self.rate = rate;
         self.level = self.level.min(burst(rate));
     }
 
-    /// Takes `n` if the bucket is not overdrawn.
+    /// Takes `n` tokens if the bucket holds that many; for an `n` above its capacity it must be
+    /// full.
     ///
     /// # Errors
     ///
-    /// Returns the time until it will not be.
+    /// Returns the time until enough tokens are available.
     pub fn take(&mut self, n: f64, now: Time) -> Result<(), Span> {
         self.fill(now);
         if self.level >= n.min(burst(self.rate)) {
@@ -84,7 +84,7 @@
         Err(Span::from_secs_f64(missing / rate))
     }
 
-    /// Takes `n` even if that overdraws the bucket, or gives back if negative.
+    /// Takes `n` tokens even if that overdraws the bucket, or returns tokens if `n` is negative.
     pub fn charge(&mut self, n: f64) {
         self.level = (self.level - n).min(burst(self.rate));
     }
@@ -110,10 +110,10 @@
     tokens: Option<(Rate, Bucket)>,
     concurrency: Option<u32>,
     running: u32,
-    asked_requests: f64,
-    asked_tokens: f64,
-    taken_requests: f64,
-    taken_tokens: f64,
+    offered_requests: f64,
+    offered_tokens: f64,
+    admitted_requests: f64,
+    admitted_tokens: f64,
     demand: f64,
     used: f64,
 }
@@ -136,30 +136,30 @@
     }
 }
 
-/// What an entry wants of a client account's limit.
+/// An entry's demand on the limit of a client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     /// The client account.
     pub account: AccountId,
     /// The demand as a multiple of the limit.
     pub demand: f64,
-    /// What was taken in, as a multiple of the limit.
+    /// The admitted part, as a multiple of the limit.
     pub used: f64,
 }
 
 impl Limits {
-    /// Sets the number of entries, by which a limit is split until shares come.
+    /// Sets the number of entries, by which a limit is divided until shares are assigned.
     pub fn set_entries(&mut self, entries: usize) {
         self.entries = entries.max(1);
     }
 
-    /// Takes a request in, or says when to come back.
+    /// Admits a request or returns when to retry.
     ///
-    /// `tokens` is what the request is expected to use.
+    /// `tokens` is the expected usage of the request.
     ///
     /// # Errors
     ///
-    /// Fails, not run, when the account's part of its limit is used up.
+    /// Fails with a "not run" verdict if this entry's share of a limit is used up.
     pub fn admit(
         &mut self,
         account: &AccountId,
@@ -176,12 +176,12 @@
             .entry(account.clone())
             .or_insert_with(|| Account::new(even));
         own.refresh(node, even, now);
-        own.asked_requests += 1.0;
-        own.asked_tokens += f64::from(tokens);
+        own.offered_requests += 1.0;
+        own.offered_tokens += f64::from(tokens);
         own.admit(f64::from(tokens), now)
     }
 
-    /// Notes the end of a request and what it used beyond what was expected.
+    /// Ends an admitted request and charges the tokens used beyond the expected usage.
     pub fn settle(&mut self, account: &AccountId, beyond: f64) {
         if let Some(own) = self.accounts.get_mut(account) {
             own.running = own.running.saturating_sub(1);
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Notes a share given by the account's home.
+    /// Sets the share assigned by the account's home.
     pub fn set_share(&mut self, account: &AccountId, share: f64, now: Time) {
         if let Some(own) = self.accounts.get_mut(account) {
             own.share = share;
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Returns the demands to be reported now, if it is time.
+    /// Returns the demands to report, or nothing if the next report is not due.
     pub fn report(&mut self, now: Time) -> Vec<Demand> {
         let passed = now.since(self.reported);
         if passed < REPORT_EVERY {
@@ -225,20 +225,21 @@
             tokens: None,
             concurrency: None,
             running: 0,
-            asked_requests: 0.0,
-            asked_tokens: 0.0,
-            taken_requests: 0.0,
-            taken_tokens: 0.0,
+            offered_requests: 0.0,
+            offered_tokens: 0.0,
+            admitted_requests: 0.0,
+            admitted_tokens: 0.0,
             demand: 0.0,
             used: 0.0,
         }
     }
 
-    /// Brings the buckets to the settings and the share in force.
+    /// Updates the buckets to the current settings and share.
     fn refresh(&mut self, node: &Node, even: f64, now: Time) {
-        let fresh = self.granted.is_some_and(|t| now.since(t) < GRANT_TTL);
-        if !fresh {
-            // Nobody keeps the sum any more, so no more than the even part.
+        let is_fresh = self.granted.is_some_and(|t| now.since(t) < GRANT_TTL);
+        if !is_fresh {
+            // The home no longer bounds the sum of the shares, so this entry uses its even part at
+            // most.
             self.share = self.share.min(even);
             if self.granted.is_none() {
                 self.share = even;
@@ -262,7 +263,7 @@
             let limit = *limit;
             bucket
                 .take(1.0, now)
-                .map_err(|wait| reached(limit, "requests", wait))?;
+                .map_err(|wait| limit_error(limit, "requests", wait))?;
         }
         if let Some((limit, bucket)) = &mut self.tokens {
             let limit = *limit;
@@ -270,35 +271,35 @@
                 if let Some((_, requests)) = &mut self.requests {
                     requests.charge(-1.0);
                 }
-                return Err(reached(limit, "tokens", wait));
+                return Err(limit_error(limit, "tokens", wait));
             }
         }
         self.running += 1;
-        self.taken_requests += 1.0;
-        self.taken_tokens += tokens;
+        self.admitted_requests += 1.0;
+        self.admitted_tokens += tokens;
         Ok(())
     }
 
     fn take_demand(&mut self, account: &AccountId, passed: Span) -> Demand {
-        let over = |asked: f64, limit: &Option<(Rate, Bucket)>| match limit {
-            Some((rate, _)) => asked / passed.secs_f64() / rate.per_second().max(1e-6),
+        let over = |demanded: f64, limit: &Option<(Rate, Bucket)>| match limit {
+            Some((rate, _)) => demanded / passed.secs_f64() / rate.per_second().max(1e-6),
             None => 0.0,
         };
-        let requests = over(self.asked_requests, &self.requests);
-        let tokens = over(self.asked_tokens, &self.tokens);
-        let taken = over(self.taken_requests, &self.requests);
-        let taken = taken.max(over(self.taken_tokens, &self.tokens));
+        let requests = over(self.offered_requests, &self.requests);
+        let tokens = over(self.offered_tokens, &self.tokens);
+        let admitted = over(self.admitted_requests, &self.requests);
+        let admitted = admitted.max(over(self.admitted_tokens, &self.tokens));
         let running = match self.concurrency {
             Some(limit) => f64::from(self.running) / f64::from(limit.max(1)),
             None => 0.0,
         };
-        self.asked_requests = 0.0;
-        self.asked_tokens = 0.0;
-        self.taken_requests = 0.0;
-        self.taken_tokens = 0.0;
+        self.offered_requests = 0.0;
+        self.offered_tokens = 0.0;
+        self.admitted_requests = 0.0;
+        self.admitted_tokens = 0.0;
         let now = requests.max(tokens).max(running);
         self.demand += DEMAND_GAIN * (now - self.demand);
-        self.used += DEMAND_GAIN * (taken.max(running) - self.used);
+        self.used += DEMAND_GAIN * (admitted.max(running) - self.used);
         Demand {
             account: account.clone(),
             demand: self.demand,
@@ -324,12 +325,12 @@
     }
 }
 
-fn reached(limit: Rate, what: &str, wait: Span) -> Failure {
+fn limit_error(limit: Rate, what: &str, wait: Span) -> Failure {
     let message = format!("the limit of {limit} {what} is used up");
     Failure::not_run(Reason::LimitReached, message).retry_after(wait)
 }
 
-/// The shares that a home hands out.
+/// Assigns the shares of limits, at their home.
 #[derive(Debug, Default)]
 pub struct Allocator {
     accounts: BTreeMap<AccountId, Claims>,
@@ -339,7 +340,7 @@
 #[derive(Debug, Default)]
 struct Claims {
     by_link: BTreeMap<Link, Claim>,
-    /// What the shares may add up to beyond the whole.
+    /// How much the sum of the shares may exceed the limit.
     extra: f64,
     adjusted: Time,
 }
@@ -349,26 +350,27 @@
     demand: f64,
     used: f64,
     share: f64,
-    heard: Time,
+    reported_at: Time,
 }
 
 impl Allocator {
-    /// Notes an entry's demand and returns its share.
+    /// Records an entry's demand and returns its share.
     ///
-    /// `entries` is the number of entries that may claim, for the time in which
-    /// a new home does not know yet what its forerunner handed out.
+    /// `entries` is the number of entries that may hold shares. It bounds each share while a new
+    /// home does not know what its predecessor assigned.
     pub fn claim(&mut self, link: Link, demand: &Demand, entries: usize, now: Time) -> f64 {
         let started = *self.since.get_or_insert(now);
         let claims = self.accounts.entry(demand.account.clone()).or_default();
-        let share = claims.note(link, demand, now);
-        let warm = now.since(started) >= GRANT_TTL;
-        if warm {
+        let share = claims.update(link, demand, now);
+        let is_warm = now.since(started) >= GRANT_TTL;
+        if is_warm {
             claims.adjust(now);
         }
-        let most = 1.0 + claims.extra;
-        let taken = claims.taken() - share;
-        let mut share = (target(&claims.by_link, link) * most).min((most - taken).max(0.0));
-        if !warm {
+        let max_sum = 1.0 + claims.extra;
+        let allocated = claims.allocated() - share;
+        let mut share =
+            (target(&claims.by_link, link) * max_sum).min((max_sum - allocated).max(0.0));
+        if !is_warm {
             share = share.min(1.0 / entries.max(1) as f64);
         }
         if let Some(claim) = claims.by_link.get_mut(&link) {
@@ -377,8 +379,8 @@
         share
     }
 
-    /// Forgets an entry whose link is gone; its shares are free after
-    /// [`GRANT_TTL`], since it may go on using them that long.
+    /// Removes an entry whose link is gone. Its share stays reserved until it expires, since the
+    /// entry may go on using it.
     pub fn remove_link(&mut self, link: Link) {
         for claims in self.accounts.values_mut() {
             if let Some(claim) = claims.by_link.get_mut(&link) {
@@ -390,55 +392,55 @@
 }
 
 impl Claims {
-    /// Notes a demand and returns the share that the entry has until now.
-    fn note(&mut self, link: Link, demand: &Demand, now: Time) -> f64 {
+    /// Records a demand and returns the entry's current share.
+    fn update(&mut self, link: Link, demand: &Demand, now: Time) -> f64 {
         self.by_link
-            .retain(|_, claim| now.since(claim.heard) < GRANT_TTL + GRANT_TTL);
+            .retain(|_, claim| now.since(claim.reported_at) < GRANT_TTL + GRANT_TTL);
         let share = self.by_link.get(&link).map_or(0.0, |claim| claim.share);
         let claim = Claim {
             demand: demand.demand,
             used: demand.used,
             share,
-            heard: now,
+            reported_at: now,
         };
         self.by_link.insert(link, claim);
         share
     }
 
-    fn taken(&self) -> f64 {
+    fn allocated(&self) -> f64 {
         self.by_link.values().map(|claim| claim.share).sum()
     }
 
-    /// Lets the shares add up to more while some go unused though more is asked
-    /// for than there is, and takes it back otherwise.
+    /// Raises the sum of the shares while some go unused although the demand exceeds the limit, and
+    /// lowers it otherwise.
     fn adjust(&mut self, now: Time) {
         if now.since(self.adjusted) < REPORT_EVERY {
             return;
         }
         self.adjusted = now;
         let used: f64 = self.by_link.values().map(|claim| claim.used).sum();
-        let asked: f64 = self.by_link.values().map(|claim| claim.demand).sum();
-        let unused = if asked > 1.0 { 1.0 - used } else { -1.0 };
-        self.extra = (self.extra + SHARES_GAIN * unused).clamp(0.0, MOST_SHARES - 1.0);
+        let demanded: f64 = self.by_link.values().map(|claim| claim.demand).sum();
+        let unused = if demanded > 1.0 { 1.0 - used } else { -1.0 };
+        self.extra = (self.extra + SHARE_SUM_GAIN * unused).clamp(0.0, MAX_SHARE_SUM - 1.0);
     }
 }
 
-/// Returns the share that a link ought to have: an even part for all, and the
-/// rest by demand, where nobody gets more than its demand while others lack.
+/// Returns the target share of a link: an even part for all, the rest by demand with max-min
+/// fairness.
 fn target(claims: &BTreeMap<Link, Claim>, link: Link) -> f64 {
-    let even = EVEN_PART / claims.len() as f64;
-    let mut left = 1.0 - EVEN_PART;
+    let even = EVEN_FRACTION / claims.len() as f64;
+    let mut left = 1.0 - EVEN_FRACTION;
     let mut open: Vec<(Link, f64)> = claims.iter().map(|(l, c)| (*l, c.demand)).collect();
     open.sort_by(|a, b| a.1.total_cmp(&b.1));
     let mut own = even;
     for (i, (l, demand)) in open.iter().enumerate() {
         let fair = left / (open.len() - i) as f64;
-        let given = (demand * HEADROOM - even).clamp(0.0, fair);
-        left -= given;
+        let granted_part = (demand * HEADROOM - even).clamp(0.0, fair);
+        left -= granted_part;
         if *l == link {
-            own += given;
+            own += granted_part;
         }
     }
-    // What nobody asked for is spread evenly, as room for growth.
+    // What is not requested is split evenly, as room for growth.
     own + left.max(0.0) / open.len() as f64
 }
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,10 +1,8 @@
-//! A queue that is fair between classes and, within a class, between client
-//! accounts.
+//! A queue that is fair between classes and, within a class, between client accounts.
 //!
-//! Both levels use start-time fair queueing: each flow has a virtual time that
-//! advances by cost over weight as it is served, and the flow that lies
-//! furthest back goes next. A class with a large weight therefore goes first
-//! whenever it comes back from idleness, yet no class waits for ever.
+//! Both levels use start-time fair queueing: each flow has a virtual time that advances by cost
+//! over weight as it is served, and the flow with the lowest virtual time goes next. A class with a
+//! large weight therefore goes first whenever it was idle before, yet no class starves.
 //!
 //! ```
 //! use sorreldeck::queue::{Item, Next, Queue};
@@ -30,7 +28,7 @@
 use crate::unit::Time;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What one unit of weight of a class is worth against the other classes.
+/// Returns the weight of a class against the other classes.
 fn class_weight(class: Class) -> f64 {
     match class {
         Class::Priority => 64.0,
@@ -39,7 +37,7 @@
     }
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 pub struct Item<T> {
     /// The class.
@@ -50,20 +48,20 @@
     pub weight: u32,
     /// The expected cost, in tokens.
     pub cost: u32,
-    /// When the request is no longer worth starting.
+    /// The time after which the request is not started any more.
     pub deadline: Time,
     /// The request.
     pub value: T,
 }
 
-/// What a queue gives.
+/// The result of [`Queue::pop`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next<T> {
-    /// Start this one.
+    /// A request to start.
     Ready(T),
-    /// Refuse this one; its deadline has passed.
+    /// A request to refuse, as its deadline has passed.
     Expired(T),
-    /// Nothing that may go now waits.
+    /// No eligible request waits.
     Empty,
 }
 
@@ -113,23 +111,23 @@
 }
 
 impl<T> Queue<T> {
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Returns the expected cost of all that waits, in tokens.
+    /// Returns the expected cost of all waiting requests, in tokens.
     pub fn cost(&self) -> u64 {
         self.cost
     }
 
-    /// Returns the cost of what goes before a new request of the class and
-    /// account, in tokens: all that a fair queue would serve first.
+    /// Returns the cost of the waiting requests that would be served before a new request of the
+    /// class and client account, in tokens.
     pub fn cost_before(&self, class: Class, account: &AccountId, weight: u32) -> u64 {
         let ahead = self.classes.iter().map(|(other, lane)| {
             if *other > class {
@@ -152,7 +150,7 @@
         ahead.sum::<f64>() as u64
     }
 
-    /// Puts a request at the end of its account's line.
+    /// Appends a request to the flow of its client account.
     pub fn push(&mut self, item: Item<T>) {
         let now = self.virtual_time;
         let lane = self.classes.entry(item.class).or_default();
@@ -164,12 +162,12 @@
         lane.push(item);
     }
 
-    /// Takes the next request among the classes that may go now.
-    pub fn pop(&mut self, now: Time, may_go: impl Fn(Class) -> bool) -> Next<T> {
+    /// Removes the next request among the eligible classes.
+    pub fn pop(&mut self, now: Time, is_eligible: impl Fn(Class) -> bool) -> Next<T> {
         let next = self
             .classes
             .iter()
-            .filter(|(class, lane)| lane.len > 0 && may_go(**class))
+            .filter(|(class, lane)| lane.len > 0 && is_eligible(**class))
             .min_by(|(a, x), (b, y)| x.start.total_cmp(&y.start).then(b.cmp(a)))
             .map(|(class, _)| *class);
         let Some(class) = next else {
@@ -188,17 +186,19 @@
         Next::Ready(item.value)
     }
 
-    /// Removes the requests for which `leave` holds and those past their
-    /// deadline.
-    pub fn sweep(&mut self, now: Time, leave: impl Fn(&T) -> bool) -> Vec<T> {
-        let mut gone = Vec::new();
+    /// Removes the requests that the predicate selects and those past their deadline.
+    pub fn sweep(&mut self, now: Time, should_remove: impl Fn(&T) -> bool) -> Vec<T> {
+        let mut removed = Vec::new();
         for lane in self.classes.values_mut() {
-            lane.sweep(|item| item.deadline < now || leave(&item.value), &mut gone);
+            lane.sweep(
+                |item| item.deadline < now || should_remove(&item.value),
+                &mut removed,
+            );
         }
-        self.len -= gone.len();
-        let cost: u64 = gone.iter().map(|item| u64::from(item.cost)).sum();
+        self.len -= removed.len();
+        let cost: u64 = removed.iter().map(|item| u64::from(item.cost)).sum();
         self.cost -= cost;
-        gone.into_iter().map(|item| item.value).collect()
+        removed.into_iter().map(|item| item.value).collect()
     }
 }
 
@@ -237,24 +237,24 @@
         };
         self.virtual_time = self.virtual_time.max(flow.start);
         flow.start += f64::from(item.cost) / f64::from(item.weight.max(1));
-        let idle = flow.items.is_empty();
-        // A flow that lies behind is forgotten; one that used more is kept,
-        // or leaving and coming back would wipe its debt.
-        if idle && flow.start <= self.virtual_time {
+        let is_idle = flow.items.is_empty();
+        // A flow with a low virtual time is dropped. One that used more than its share is kept, or
+        // an account could clear its debt by pausing.
+        if is_idle && flow.start <= self.virtual_time {
             self.flows.remove(&item.account);
         }
     }
 
-    fn sweep(&mut self, leave: impl Fn(&Item<T>) -> bool, gone: &mut Vec<Item<T>>) {
+    fn sweep(&mut self, should_remove: impl Fn(&Item<T>) -> bool, removed: &mut Vec<Item<T>>) {
         for flow in self.flows.values_mut() {
-            if !flow.items.iter().any(&leave) {
+            if !flow.items.iter().any(&should_remove) {
                 continue;
             }
             let items = std::mem::take(&mut flow.items);
-            let (out, stay): (Vec<_>, Vec<_>) = items.into_iter().partition(&leave);
-            self.len -= out.len();
-            gone.extend(out);
-            flow.items = stay.into();
+            let (matching, kept): (Vec<_>, Vec<_>) = items.into_iter().partition(&should_remove);
+            self.len -= matching.len();
+            removed.extend(matching);
+            flow.items = kept.into();
         }
     }
 }
--- a/crates/core/src/spool.rs
+++ b/crates/core/src/spool.rs
@@ -1,9 +1,8 @@
-//! Bill records that wait until they are in the platform's store.
+//! Bill records waiting to be written to the platform's store.
 //!
-//! A sidecar writes its records in batches. An entry holds copies of the
-//! records of the answers it passed on, and writes those that the sidecar did
-//! not report as written once the link to it has been gone for a while. Both
-//! may write the same record: the bill is a set.
+//! A sidecar writes its records in batches. An entry holds copies of the records of the answers it
+//! forwarded, and writes those that the sidecar has not reported as written once the link to it has
+//! been gone for a while. Both may write the same record, since the bill is a set.
 //!
 //! ```
 //! use sorreldeck::spool::Spool;
@@ -21,21 +20,21 @@
 use crate::wire::Run;
 use std::collections::{BTreeMap, HashMap};
 
-/// The longest that a record waits for others before its batch is written.
+/// The longest time that a record waits before its batch is written.
 const BATCH_AGE: Span = Span::from_millis(5000);
-/// The records at which a batch is written at once, and its largest size.
+/// The number of records that triggers a batch at once, and the largest batch.
 const BATCH_LEN: usize = 500;
-/// The pause after a failed write; it doubles up to [`MAX_PAUSE`].
-const MIN_PAUSE: Span = Span::from_millis(500);
-const MAX_PAUSE: Span = Span::from_millis(30_000);
-const DAY: u64 = 86_400_000_000;
+/// The shortest back-off after a failed write; it doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Span = Span::from_millis(500);
+const MAX_BACKOFF: Span = Span::from_millis(30_000);
+const DAY_US: u64 = 86_400_000_000;
 
-/// Records to be written as one object.
+/// Records written as one object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The count of the batch in this run of the process.
+    /// The sequence number of the batch in this incarnation.
     pub number: u64,
-    /// The run of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
     /// The day of the first record.
     pub day: u32,
@@ -44,21 +43,21 @@
 }
 
 impl Batch {
-    /// Returns the name of the object; a repeated write has the same one.
+    /// Returns the object name; a repeated write uses the same one.
     pub fn name(&self) -> String {
         format!("bill/{}/{}-{}", self.day, self.incarnation, self.number)
     }
 }
 
-/// Records that are not known to be written.
+/// Records whose write is not confirmed.
 #[derive(Debug)]
 pub struct Spool {
     incarnation: Incarnation,
     waiting: HashMap<Run, Entry>,
     batches: BTreeMap<u64, Batch>,
-    next: u64,
+    next_number: u64,
     oldest: Option<Time>,
-    pause: Span,
+    backoff: Span,
     not_before: Time,
     in_flight: Option<u64>,
 }
@@ -71,15 +70,15 @@
 }
 
 impl Spool {
-    /// Creates an empty holder.
+    /// Creates an empty spool.
     pub fn new(incarnation: Incarnation) -> Spool {
         Spool {
             incarnation,
             waiting: HashMap::new(),
             batches: BTreeMap::new(),
-            next: 0,
+            next_number: 0,
             oldest: None,
-            pause: MIN_PAUSE,
+            backoff: MIN_BACKOFF,
             not_before: Time::default(),
             in_flight: None,
         }
@@ -87,21 +86,20 @@
 
     /// Returns the day of a time whose origin is 1970-01-01 UTC.
     pub fn day(&self, now: Time) -> u32 {
-        (now.0 / DAY) as u32
+        (now.0 / DAY_US) as u32
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no records wait.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Returns how many records wait.
+    /// Returns the number of waiting records.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Adds a record and the link whose other end holds a copy; returns whether
-    /// it is new.
+    /// Adds a record and the link whose peer holds a copy; returns whether it is new.
     pub fn add(&mut self, record: Record, link: Option<Link>, now: Time) -> bool {
         let run = record.run;
         if self.waiting.contains_key(&run) {
@@ -117,7 +115,7 @@
         true
     }
 
-    /// Forgets records that another process has written.
+    /// Removes records that another process has written.
     pub fn remove(&mut self, runs: &[Run]) {
         for run in runs {
             self.waiting.remove(run);
@@ -127,7 +125,7 @@
         }
     }
 
-    /// Notes that a link is gone.
+    /// Clears the link of the records whose peer is gone.
     pub fn remove_link(&mut self, link: Link) {
         for entry in self.waiting.values_mut() {
             if entry.link == Some(link) {
@@ -136,8 +134,8 @@
         }
     }
 
-    /// Returns a batch that is to be written now: all that waits, if enough
-    /// waits, or long enough, or `hurry` is set. One write goes at a time.
+    /// Returns the batch to write now, if any: all waiting records once they are numerous or old
+    /// enough, or if `hurry` is set. Only one write is in flight at a time.
     pub fn due(&mut self, now: Time, hurry: bool) -> Option<Batch> {
         self.due_where(now, hurry, |_| true)
     }
@@ -160,8 +158,8 @@
             self.in_flight = Some(batch.number);
             return Some(batch.clone());
         }
-        let aged = self.oldest.is_some_and(|t| now.since(t) >= BATCH_AGE);
-        if !aged && !hurry && self.waiting.len() < BATCH_LEN {
+        let is_aged = self.oldest.is_some_and(|t| now.since(t) >= BATCH_AGE);
+        if !is_aged && !hurry && self.waiting.len() < BATCH_LEN {
             return None;
         }
         let mut runs: Vec<Run> = self
@@ -179,8 +177,8 @@
     }
 
     fn seal(&mut self, runs: Vec<Run>, now: Time) -> Batch {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         let mut records = Vec::with_capacity(runs.len());
         for run in runs {
             if let Some(entry) = self.waiting.get_mut(&run) {
@@ -200,33 +198,33 @@
         batch
     }
 
-    /// Notes that a batch is in the store; returns whom to tell of what.
+    /// Handles a confirmed write; returns the runs to announce as written, by link.
     pub fn on_written(&mut self, number: u64) -> BTreeMap<Link, Vec<Run>> {
         self.in_flight = None;
-        self.pause = MIN_PAUSE;
-        let mut told: BTreeMap<Link, Vec<Run>> = BTreeMap::new();
+        self.backoff = MIN_BACKOFF;
+        let mut announced: BTreeMap<Link, Vec<Run>> = BTreeMap::new();
         let Some(batch) = self.batches.remove(&number) else {
-            return told;
+            return announced;
         };
         for record in &batch.records {
             let Some(entry) = self.waiting.remove(&record.run) else {
                 continue;
             };
             if let Some(link) = entry.link {
-                told.entry(link).or_default().push(record.run);
+                announced.entry(link).or_default().push(record.run);
             }
         }
         if self.waiting.is_empty() {
             self.oldest = None;
         }
-        told
+        announced
     }
 
-    /// Notes that a batch may not be in the store; it is written again later
+    /// Handles a write that failed or whose outcome is unknown. The batch is written again later
     /// under the same name.
     pub fn on_write_failed(&mut self, _number: u64, now: Time) {
         self.in_flight = None;
-        self.not_before = now + self.pause;
-        self.pause = (self.pause + self.pause).min(MAX_PAUSE);
+        self.not_before = now + self.backoff;
+        self.backoff = (self.backoff + self.backoff).min(MAX_BACKOFF);
     }
 }
