--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -1,7 +1,7 @@
-//! Messages between an entry and a sidecar, and their form on a link.
+//! Messages between processes and their encoding on a link.
 //!
-//! One WebSocket message carries a batch of frames, so that a busy link pays
-//! for one system call, not one for each token.
+//! One WebSocket message carries a batch of frames, so that a busy link needs one system call per
+//! batch rather than one per token.
 //!
 //! ```
 //! use sorreldeck::wire::{self, Frame};
@@ -31,19 +31,19 @@
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// One try to run one step of a request.
+/// One attempt to run one step of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Run {
     /// The request.
     pub request: RequestId,
-    /// The step of a cascade, from 0; 0 where there is no cascade.
+    /// The step of a cascade, from 0; always 0 without a cascade.
     pub step: u16,
-    /// The count of the try, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: u16,
 }
 
 impl Run {
-    /// Returns the first try of the first step of a request.
+    /// Returns the first attempt of the first step of a request.
     pub fn first(request: RequestId) -> Run {
         Run {
             request,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the next try of the same step.
+    /// Returns the next attempt of the same step.
     pub fn next_attempt(self) -> Run {
         Run {
             attempt: self.attempt + 1,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Returns the first try of the next step.
+    /// Returns the first attempt of the next step.
     pub fn next_step(self) -> Run {
         Run {
             step: self.step + 1,
@@ -82,21 +82,21 @@
     }
 }
 
-/// What runs at an upstream and what waits there, as its sidecar counts it.
+/// Running and queued work at an upstream, as counted by its sidecar.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The requests running.
+    /// The number of running requests.
     pub running: u32,
-    /// The most requests that may run at a time.
+    /// The number of requests that may run concurrently.
     pub slots: u32,
-    /// The places kept for the priority class.
+    /// The slots reserved for the priority class.
     pub reserve: u32,
-    /// The requests waiting.
+    /// The number of queued requests.
     pub queued: u32,
-    /// The expected wait of a standard request that comes now.
+    /// The expected wait of a new standard request.
     #[serde(with = "span_micros")]
     pub wait: Span,
-    /// The prompt tokens that the upstream works through in a second.
+    /// The prompt tokens that the upstream processes per second.
     #[serde(rename = "prefill")]
     pub prefill_rate: u32,
 }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Who a sidecar is and what its upstream serves.
+/// The introduction of a sidecar and its upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Welcome {
     /// The upstream.
@@ -123,11 +123,11 @@
     pub pool: PoolId,
     /// The data hall of the upstream.
     pub hall: Hall,
-    /// The run of the sidecar.
+    /// The incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// The revision that the sidecar has in force.
+    /// The active revision of the sidecar.
     pub revision: Revision,
-    /// What runs there.
+    /// The load of the upstream.
     pub load: Load,
 }
 
@@ -150,26 +150,26 @@
     }
 }
 
-/// A request on its way to an upstream.
+/// An HTTP request to an upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     /// The method.
     pub method: String,
-    /// The path and query as the upstream is to see it.
+    /// The path and query sent to the upstream.
     pub path: String,
-    /// The headers that are passed on.
+    /// The headers to forward.
     pub headers: Vec<Header>,
     /// The body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// A sidecar's order to run a request.
+/// An order to a sidecar to run a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
-    /// The try.
+    /// The run.
     pub run: Run,
-    /// The client account that pays.
+    /// The client account billed.
     pub account: AccountId,
     /// The weight of the client account.
     pub weight: u32,
@@ -181,49 +181,50 @@
     pub deadline_us: u64,
     /// The expected cost of the request, in tokens.
     pub tokens: u32,
-    /// Whether the request may wait here; if not, it is refused at once when
-    /// there is no room, to be tried elsewhere.
+    /// Whether the request may be queued. If not, it is refused when no slot is free, so that
+    /// another upstream can be tried.
     #[serde(rename = "patient")]
     pub may_queue: bool,
-    /// The revision by which the entry decided.
+    /// The revision on which the entry based its decision.
     pub revision: Revision,
-    /// The call itself.
+    /// The HTTP request.
     pub call: Call,
-    /// What an upstream that is called directly is told besides.
+    /// The metadata of the call, for an upstream that is called directly.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "order")]
     pub metadata: Option<Box<Metadata>>,
 }
 
-/// The tables of the platform's store that entries follow.
+/// The number of tables of the platform's store that entries replicate.
 pub const TABLE_COUNT: usize = 4;
 
-/// A table of the platform's store as one entry gives it to another.
+/// A full copy of a table of the platform's store, passed between entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableCopy {
-    /// The number of the table among those that entries follow.
+    /// The index of the table among the replicated ones.
     pub number: usize,
-    /// The version of the store that the copy shows.
+    /// The store version of the copy.
     pub version: u64,
     /// The era of that version.
     #[serde(default)]
     pub era: Era,
     /// Keys, versions and values.
     pub rows: Vec<(String, u64, serde_bytes::ByteBuf)>,
-    /// What holds though the store has lost it.
+    /// Rows that the store has lost but that remain valid.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "kept")]
     pub retained: Vec<RetainedRow>,
 }
 
-/// Up to which versions an entry knows the tables of the platform's store, in one era.
+/// A replication position: the versions up to which an entry has the tables of the platform's
+/// store, within one era.
 ///
-/// It is written as the list of the versions and the era after them: builds that know no era
+/// It is encoded as a list of the versions followed by the era, so that builds without eras can
 /// read the versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Vec<u64>", into = "Vec<u64>")]
 pub struct Cursor {
-    /// The version of each table, 0 where it is not known in this era.
+    /// The version of each table, 0 if unknown in this era.
     pub versions: [u64; TABLE_COUNT],
     /// The era.
     pub era: Era,
@@ -240,30 +241,30 @@
 }
 
 impl From<Cursor> for Vec<u64> {
-    fn from(have: Cursor) -> Vec<u64> {
-        let era = std::iter::once(have.era.0);
-        have.versions.into_iter().chain(era).collect()
+    fn from(cursor: Cursor) -> Vec<u64> {
+        let era = std::iter::once(cursor.era.0);
+        cursor.versions.into_iter().chain(era).collect()
     }
 }
 
-/// What was known of a row that the store lost when it came back from a copy, and that holds
-/// until it is written again.
+/// A row that was lost when the store was restored from a backup, and that remains valid until it
+/// is written again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetainedRow {
     /// The key.
     pub key: String,
     /// The era in which it was written.
     pub era: Era,
-    /// The version that it got there.
+    /// The version assigned in that era.
     pub version: u64,
-    /// The value, or `None` where it was dropped.
+    /// The value, or `None` if the row was removed.
     pub value: Option<serde_bytes::ByteBuf>,
-    /// For how long it holds; `None` where that is not bound.
+    /// How long the row remains valid; `None` for no limit.
     #[serde(rename = "left")]
     pub remaining: Option<Span>,
 }
 
-/// Rows in one piece of memory, which the frames to many entries share.
+/// Encoded rows in one allocation, shared by the frames to many entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Packed(Arc<[u8]>);
 
@@ -294,119 +295,119 @@
     }
 }
 
-/// What changed in a table of the platform's store, as one entry hands it to another.
+/// The changes of a table of the platform's store, passed between entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableDelta {
-    /// The number of the table among those that entries follow.
+    /// The index of the table among the replicated ones.
     pub number: usize,
-    /// The version after which these rows changed, or `None` where they are the whole
-    /// table.
+    /// The version that the changes are based on, or `None` if `rows` is the whole table.
     pub since: Option<u64>,
-    /// The version that the table then has.
+    /// The version of the table with these changes.
     pub version: u64,
     /// The era of these versions.
     #[serde(default)]
     pub era: Era,
-    /// Keys, versions and values; no value where a row was dropped.
+    /// Keys, versions and values; no value for a removed row.
     pub rows: Vec<(String, u64, Option<serde_bytes::ByteBuf>)>,
-    /// The rows, packed, in place of `rows`.
+    /// The encoded rows, in place of `rows`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub packed: Option<Packed>,
-    /// What holds though the store has lost it, where the whole table is handed on.
+    /// Rows that the store has lost but that remain valid, if the whole table is sent.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "kept")]
     pub retained: Vec<RetainedRow>,
 }
 
-/// What an entry tells one from which it has the tables of the platform's store.
+/// A message of an entry to the entry that it replicates the tables of the platform's store from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Follow {
     /// The entry.
     pub entry: InstanceId,
     /// Its data hall.
     pub hall: Hall,
-    /// The versions of the tables that it has, where they are to be sent from there.
+    /// The replication position to resume from, if the tables are requested.
     #[serde(rename = "have")]
     pub cursor: Option<Cursor>,
     /// Whether it reads the store itself.
     pub reads_store: bool,
-    /// What it has found of moves to other releases.
+    /// Its observations of moves to other releases.
     #[serde(rename = "found")]
     pub release_reports: Vec<(PoolId, Report)>,
-    /// The prompts that it sent: the number of the upstream, and how long reading takes,
-    /// in milliseconds.
+    /// The prompts that it sent: the number of the upstream and the time to process the prompt, in
+    /// milliseconds.
     #[serde(rename = "sent")]
     pub sent_prompts: Vec<(u64, u32)>,
     /// The sessions that it serves and that stay at their release.
     #[serde(rename = "stays")]
     pub affinities: Vec<Affinity>,
-    /// The requests that were where upstreams crashed, and what became of them.
+    /// The requests that were running when upstreams crashed, and their outcomes.
     #[serde(default)]
     #[serde(rename = "words")]
     pub quarantine: Vec<Update>,
-    /// What upstreams said of themselves.
+    /// Notices that upstreams sent about themselves.
     #[serde(default)]
     pub notices: Vec<notice::Update>,
-    /// What it counted of the requests that began to run.
+    /// Its counts of started requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub counts: Vec<duty::Update>,
-    /// The time of day less the store's clock as it has it, in microseconds.
+    /// The UTC time at the origin of the store's clock, as estimated by the entry, in microseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub epoch_us: Option<i64>,
 }
 
-/// What an entry tells those that have the tables of the platform's store from it.
+/// A message of an entry to those that replicate the tables of the platform's store from it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Feed {
-    /// When the store was heard last, on its own clock, in microseconds; `None` if it never
-    /// was. An age would grow too slowly where entries tell it one another in a circle.
+    /// The time of the last contact with the store, on the store's clock, in microseconds; `None`
+    /// if there was none. It is not sent as an age, because an age passed around a cycle of entries
+    /// would grow too slowly.
     #[serde(rename = "heard_us")]
     pub last_contact_us: Option<u64>,
-    /// The time on the store's clock, in microseconds, where it is known.
+    /// The time on the store's clock, in microseconds, if known.
     pub clock_us: Option<u64>,
-    /// The era of the store that the entry knows.
+    /// The era of the store as known to the entry.
     #[serde(default)]
     pub era: Era,
     /// Whether the entry is about to stop.
     pub leaving: bool,
-    /// What changed in the tables.
+    /// The changes of the tables.
     pub tables: Vec<TableDelta>,
-    /// What the entries of data halls have found of moves to other releases.
+    /// The observations of moves to other releases, by data hall.
     #[serde(rename = "found")]
     pub release_reports: Vec<(PoolId, Hall, Report)>,
-    /// The prompts that entries sent: the number of the upstream, and how long reading
-    /// takes, in milliseconds.
+    /// The prompts that entries sent: the number of the upstream and the time to process the
+    /// prompt, in milliseconds.
     #[serde(rename = "sent")]
     pub sent_prompts: Vec<(u64, u32)>,
     /// The sessions that entries serve and that stay at their release.
     #[serde(rename = "stays")]
     pub affinities: Vec<Affinity>,
-    /// The requests that were where upstreams crashed, and what became of them.
+    /// The requests that were running when upstreams crashed, and their outcomes.
     #[serde(default)]
     #[serde(rename = "words")]
     pub quarantine: Vec<Update>,
-    /// What upstreams said of themselves.
+    /// Notices that upstreams sent about themselves.
     #[serde(default)]
     pub notices: Vec<notice::Update>,
-    /// True time less the store's clock, in microseconds, where it is known.
+    /// The UTC time at the origin of the store's clock, in microseconds, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub epoch_us: Option<i64>,
 }
 
-/// What an upstream that is called directly is told besides the call.
+/// Metadata of a call to an upstream that is called directly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Metadata {
-    /// The caller's name for the request, which the answer must carry.
+    /// The label of the request, which the answer must carry.
     pub label: String,
-    /// The client account, if the request belongs to one.
+    /// The client account that the request belongs to, if any.
     pub account: Option<AccountId>,
-    /// The upstream that must answer; any other refuses the call.
+    /// The upstream that must answer; any other rejects the call.
     pub upstream: Option<UpstreamId>,
     /// The model that must answer.
     pub model: Option<ModelId>,
-    /// The order among waiting requests, 0 first.
+    /// The rank among waiting requests; 0 goes first.
     pub rank: u8,
-    /// The last event that the caller has already.
+    /// The last event that the caller has received.
     #[serde(rename = "last")]
     pub last_event_id: Option<u64>,
     /// Whether the answer is a stream of events.
@@ -416,7 +417,7 @@
     pub at_most_once: bool,
 }
 
-/// What a run used.
+/// The tokens used by a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// The prompt tokens.
@@ -427,26 +428,25 @@
     pub cached: u64,
 }
 
-/// How sure a model was of its answer: the mean probability of its tokens,
-/// from 0 to 1.
+/// The confidence of a model in its answer: the mean probability of its tokens, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Confidence(pub f64);
 
-/// A message between an entry and a sidecar.
+/// A message on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// An entry's request for tables that are newer than these versions.
+    /// Requests the tables newer than these versions.
     #[serde(rename = "Want")]
     FetchTables(Cursor),
-    /// The tables that were asked for.
+    /// The requested tables.
     Tables(Vec<TableCopy>),
-    /// An entry asks for the tables from now on, and tells what it has found.
+    /// Subscribes to the tables and carries the observations of the entry.
     Follow(Box<Follow>),
-    /// News of the tables for an entry that asked for them.
+    /// Table changes and observations for a subscribed entry.
     Feed(Box<Feed>),
-    /// The sidecar presents itself; its first frame on a link.
+    /// Introduces the sidecar; the first frame on a link.
     Welcome(Welcome),
-    /// Run a request.
+    /// Starts a run.
     Start(Box<Start>),
     /// The upstream began to answer.
     Head {
@@ -456,127 +456,127 @@
         status: u16,
         /// The headers that are passed on.
         headers: Vec<Header>,
-        /// What runs there now.
+        /// The load of the upstream.
         load: Load,
     },
     /// A part of the answer.
     Data {
         /// The run.
         run: Run,
-        /// The count of the part, from 0.
+        /// The sequence number of the part, from 0.
         seq: u32,
         /// The bytes.
         #[serde(with = "serde_bytes")]
         data: Vec<u8>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
         /// The run.
         run: Run,
-        /// The parts that were sent.
+        /// The number of parts sent.
         parts: u32,
-        /// What the run used.
+        /// The tokens used.
         usage: Usage,
-        /// How sure the model was, where the engine told.
+        /// The confidence of the model, if reported by the engine.
         confidence: Option<Confidence>,
-        /// The bill of the run.
+        /// The bill record of the run.
         record: Option<Record>,
-        /// What runs there now.
+        /// The load of the upstream.
         load: Load,
     },
     /// The run was refused or failed.
     Fail {
         /// The run.
         run: Run,
-        /// Why, and whether it may have run.
+        /// The reason, and whether the run may have happened.
         failure: Failure,
-        /// What was billed for the part that ran.
+        /// The bill record of the part that ran.
         record: Option<Record>,
-        /// What runs there now.
+        /// The load of the upstream.
         load: Load,
     },
-    /// The caller went away; stop the run.
+    /// Cancels a run because its caller disconnected.
     Cancel(Run),
-    /// What runs at the upstream now.
+    /// The load of the upstream.
     Load(Load),
-    /// No new work from now on; running work finishes.
+    /// The sender accepts no more work and finishes what is running.
     Goodbye,
-    /// The sender has this revision in force.
+    /// The active revision of the sender.
     Revision(Revision),
-    /// Send the changes after this revision.
+    /// Requests the configuration changes after this revision.
     #[serde(rename = "Missing")]
     FetchChanges(Revision),
-    /// Changes of the configuration, in order.
+    /// Configuration changes, in order.
     Changes(Vec<Change>),
-    /// The whole configuration, for a process that is too far behind.
+    /// The whole configuration, for a process too far behind for changes.
     Snapshot {
         /// The revision.
         revision: Revision,
-        /// The entries.
+        /// The settings entries.
         entries: BTreeMap<String, Value>,
     },
-    /// These records are in the platform's store.
+    /// Runs whose bill records are in the platform's store.
     Billed(Vec<Run>),
-    /// What an entry wants of a client account's limit, as a multiple of it.
+    /// An entry's demand on the limit of a client account.
     Demand {
         /// The client account.
         account: AccountId,
-        /// The demand; 1 is the whole limit.
+        /// The demand as a multiple of the limit.
         demand: f64,
-        /// What was taken in; 1 is the whole limit.
+        /// The admitted part, as a multiple of the limit.
         used: f64,
     },
-    /// An entry's part of a client account's limit.
+    /// An entry's share of the limit of a client account.
     Grant {
         /// The client account.
         account: AccountId,
-        /// The part; 1 is the whole limit.
+        /// The share as a fraction of the limit.
         share: f64,
     },
-    /// What entries tell one another, by way of sidecars, of requests under which upstreams
-    /// crashed.
+    /// Quarantine updates of an entry, about requests that were running when upstreams crashed;
+    /// relayed to other entries by sidecars.
     #[serde(rename = "Words")]
     Quarantine(Vec<Update>),
-    /// What an entry has found out about a version, since it started.
+    /// An entry's evidence about a version since the entry started.
     Evidence {
-        /// The run of the entry.
+        /// The incarnation of the entry.
         entry: Incarnation,
         /// The version.
         version: VersionId,
-        /// All that the entry found.
+        /// The evidence of this entry.
         evidence: Evidence,
     },
-    /// What all entries have found out about a version.
+    /// The merged evidence of all entries about a version.
     #[serde(rename = "Pooled")]
     PooledEvidence {
         /// The version.
         version: VersionId,
-        /// All that was found.
+        /// The merged evidence.
         evidence: Evidence,
-        /// Whether the version was found bad.
+        /// Whether the version was found to be bad.
         bad: bool,
     },
 }
 
-/// Writes frames as one message.
+/// Encodes frames as one message.
 pub fn encode(frames: &[Frame]) -> Vec<u8> {
     let mut buf = Vec::with_capacity(128 * frames.len());
-    // Frames hold only types that CBOR can express, and a Vec takes all bytes.
+    // Encoding cannot fail: every type has a CBOR form, and writes to a `Vec` always succeed.
     ciborium::into_writer(frames, &mut buf).expect("a frame is always CBOR");
     buf
 }
 
-/// Reads the frames of one message.
+/// Decodes the frames of one message.
 ///
 /// # Errors
 ///
-/// Fails with [`Category::Invalid`] when the bytes are no batch of frames.
+/// Fails with [`Category::Invalid`] if the bytes are not a valid batch of frames.
 pub fn decode(buf: &[u8]) -> Result<Vec<Frame>> {
     ciborium::from_reader(buf).map_err(|e| Error::new(Category::Invalid, e.to_string()))
 }
 
 impl Frame {
-    /// Returns the frame that refuses a run that was not started.
+    /// Creates the refusal of a run that was not started.
     pub fn refuse(run: Run, failure: Failure, load: Load) -> Frame {
         debug_assert_eq!(failure.verdict, Verdict::NotRun);
         Frame::Fail {
