--- a/crates/core/tests/duty/world.rs
+++ b/crates/core/tests/duty/world.rs
@@ -1,4 +1,4 @@
-//! Entries that do duties, the platform's store and the platform, in simulated time.
+//! A simulated installation: entries with their reporters, the platform's store and the platform.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,34 +13,35 @@
 pub const LENGTH: Span = Span::from_millis(5_000);
 pub const LATE: Span = Span::from_millis(10_000);
 pub const LEASE: Span = Span::from_millis(3_000);
-/// When an installation starts.
+/// The UTC time at which the simulation starts.
 const START: Time = Time(1_700_000_001_234_000);
-/// The age of the oldest copy that the store may come back from.
-const COPIES: usize = 60;
+/// The number of backups of the store that are kept, one per tick.
+const MAX_BACKUPS: usize = 60;
 
-/// What happens to the installation.
+/// A fault of the installation. Faults of an entry hit the lease holder, or the first running entry
+/// if there is none.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
-    /// The holder, or the first entry where there is none, is killed and starts again.
+pub enum Fault {
+    /// The entry is killed and restarts.
     Kill,
-    /// The same, and it never comes back.
+    /// The entry is removed for good.
     Remove,
-    /// It stands still for so long.
+    /// The entry is paused for this long.
     Pause(Span),
-    /// It does not reach the store, nor the platform, for so long.
-    Cut(Span),
-    /// The answers of its next calls are lost, though they are done.
-    Lose(u32),
-    /// Its next write is done so much later.
-    Late(Span),
-    /// The store comes back from a copy that is so old.
+    /// The entry cannot reach the store or the platform for this long.
+    Partition(Span),
+    /// The answers of the entry's next calls are lost, though the calls are executed.
+    LoseAnswers(u32),
+    /// The entry's next write is executed this much later.
+    DelayWrite(Span),
+    /// The store is restored from a backup of this age.
     Restore(Span),
-    /// The store is away for so long.
-    Away(Span),
-    /// The platform's address is silent for so long.
-    Silent(Span),
-    /// The platform takes so long to take a report.
-    Slow(Span),
+    /// The store is unavailable for this long.
+    StoreDown(Span),
+    /// The platform does not answer for this long.
+    PlatformDown(Span),
+    /// The platform takes this long to answer the next reports.
+    SlowPlatform(Span),
 }
 
 #[derive(Clone)]
@@ -50,12 +51,12 @@
     Report(Report),
 }
 
-/// A call on its way: when it arrives, when its answer is back, and whether that is lost.
+/// A call in flight, with the times of its execution and its answer.
 #[derive(Clone)]
-struct Trip {
+struct InFlight {
     call: Call,
-    arrives: Option<Time>,
-    ends: Time,
+    executes_at: Option<Time>,
+    ends_at: Time,
     is_lost: bool,
     answer: Option<Answer>,
 }
@@ -71,15 +72,15 @@
 pub struct Node {
     pub name: String,
     pub hall: Hall,
-    pub duty: Reporter,
+    pub reporter: Reporter,
     pub tally: Tally,
-    pub is_gone: bool,
+    pub is_removed: bool,
     starts: u64,
-    trip: Option<Trip>,
+    in_flight: Option<InFlight>,
     paused_until: Time,
-    cut_until: Time,
-    lose: u32,
-    late: Option<Span>,
+    partitioned_until: Time,
+    lost_answers: u32,
+    write_delay: Option<Span>,
 }
 
 #[derive(Clone, Default)]
@@ -89,9 +90,9 @@
     era: u64,
 }
 
-/// A report as the platform took it.
+/// A report accepted by the platform.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct Accepted {
     pub at: Time,
     pub holder: String,
     pub fence: u64,
@@ -103,18 +104,18 @@
 pub struct World {
     pub now: Time,
     pub nodes: Vec<Node>,
-    pub taken: Vec<Taken>,
-    pub truth: BTreeMap<Window, Counts>,
+    pub accepted: Vec<Accepted>,
+    pub expected: BTreeMap<Window, Counts>,
     pub calls: u64,
     rng: ChaCha8Rng,
     store: Store,
-    copies: VecDeque<Store>,
-    /// Writes that are done later than their callers wait.
-    stray: Vec<(Time, Transaction)>,
-    away_until: Time,
-    silent_until: Time,
-    slow: Option<Span>,
-    per_second: u32,
+    backups: VecDeque<Store>,
+    /// Writes executed after their callers gave up.
+    delayed_writes: Vec<(Time, Transaction)>,
+    store_down_until: Time,
+    platform_down_until: Time,
+    report_latency: Option<Span>,
+    requests_per_second: u32,
 }
 
 fn node(name: String, hall: Hall, starts: u64, is_first: bool) -> Node {
@@ -132,20 +133,20 @@
     Node {
         name,
         hall,
-        duty: Reporter::new(settings),
+        reporter: Reporter::new(settings),
         tally: Tally::new(incarnation, LENGTH),
-        is_gone: false,
+        is_removed: false,
         starts,
-        trip: None,
+        in_flight: None,
         paused_until: Time::default(),
-        cut_until: Time::default(),
-        lose: 0,
-        late: None,
+        partitioned_until: Time::default(),
+        lost_answers: 0,
+        write_delay: None,
     }
 }
 
 impl World {
-    /// Creates an installation of some data halls with as many entries each.
+    /// Creates an installation of `halls` data halls with `each` entries in each.
     pub fn new(seed: u64, halls: usize, each: usize) -> World {
         let mut nodes = Vec::new();
         for hall in 0..halls {
@@ -156,25 +157,25 @@
             }
         }
         World {
-            // Far from the origin, and not at the edge of a window.
+            // Far from the origin and not on a window boundary.
             now: START,
             nodes,
-            taken: Vec::new(),
-            truth: BTreeMap::new(),
+            accepted: Vec::new(),
+            expected: BTreeMap::new(),
             calls: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             store: Store::default(),
-            copies: VecDeque::new(),
-            stray: Vec::new(),
-            away_until: Time::default(),
-            silent_until: Time::default(),
-            slow: None,
-            per_second: 100,
+            backups: VecDeque::new(),
+            delayed_writes: Vec::new(),
+            store_down_until: Time::default(),
+            platform_down_until: Time::default(),
+            report_latency: None,
+            requests_per_second: 100,
         }
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, span: Span) {
+    /// Advances the simulation.
+    pub fn advance(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
             self.tick();
@@ -183,29 +184,30 @@
 
     fn tick(&mut self) {
         self.now = self.now + TICK;
-        self.copies.push_back(self.store.clone());
-        if self.copies.len() > COPIES {
-            self.copies.pop_front();
+        self.backups.push_back(self.store.clone());
+        if self.backups.len() > MAX_BACKUPS {
+            self.backups.pop_front();
         }
-        let stray = std::mem::take(&mut self.stray).into_iter();
-        let (due, later): (Vec<_>, Vec<_>) = stray.partition(|(at, _)| self.now >= *at);
-        self.stray = later;
-        for (_, change) in due {
-            self.change(&change);
+        let delayed_writes = std::mem::take(&mut self.delayed_writes).into_iter();
+        let (due, later): (Vec<_>, Vec<_>) = delayed_writes.partition(|(at, _)| self.now >= *at);
+        self.delayed_writes = later;
+        for (_, transaction) in due {
+            self.commit(&transaction);
         }
-        self.requests();
+        self.start_requests();
         self.gossip();
         for number in 0..self.nodes.len() {
-            self.turn(number);
+            self.step_node(number);
         }
     }
 
-    /// Lets requests begin to run.
-    fn requests(&mut self) {
-        let each = self.per_second * TICK.millis() as u32 / 1_000;
+    /// Starts requests at random entries.
+    fn start_requests(&mut self) {
+        let each = self.requests_per_second * TICK.millis() as u32 / 1_000;
         for _ in 0..each {
             let number = self.rng.random_range(0..self.nodes.len());
-            let is_up = !self.nodes[number].is_gone && self.now >= self.nodes[number].paused_until;
+            let is_up =
+                !self.nodes[number].is_removed && self.now >= self.nodes[number].paused_until;
             if !is_up {
                 continue;
             }
@@ -214,114 +216,114 @@
                 .unwrap();
             self.nodes[number].tally.record(&account, self.now);
             let window = Window::at(self.now, LENGTH);
-            self.truth.entry(window).or_default().add(&account, 1);
+            self.expected.entry(window).or_default().add(&account, 1);
         }
     }
 
-    /// Entries of a data hall tell one another what they counted.
+    /// Exchanges counts between the entries of each data hall.
     fn gossip(&mut self) {
         for number in 0..self.nodes.len() {
             let node = &mut self.nodes[number];
-            if node.is_gone || self.now < node.paused_until {
+            if node.is_removed || self.now < node.paused_until {
                 continue;
             }
             let (name, hall) = (node.name.parse().unwrap(), node.hall.clone());
-            let parts = node.tally.take_changes();
+            let updates = node.tally.take_changes();
             for (other, node) in self.nodes.iter_mut().enumerate() {
                 if other != number && node.hall == hall {
-                    node.tally.merge(&name, parts.clone());
+                    node.tally.merge(&name, updates.clone());
                 }
             }
         }
     }
 
-    fn turn(&mut self, number: usize) {
+    fn step_node(&mut self, number: usize) {
         let now = self.now;
-        self.arrive(number);
+        self.execute(number);
         let halls: BTreeSet<Hall> = self.nodes.iter().map(|n| n.hall.clone()).collect();
-        let leads = self.leads(number);
+        let is_hall_leader = self.is_hall_leader(number);
         let node = &mut self.nodes[number];
-        if node.is_gone || now < node.paused_until {
+        if node.is_removed || now < node.paused_until {
             return;
         }
-        if let Some(trip) = node.trip.take_if(|trip| now >= trip.ends) {
-            end(node, trip, now);
+        if let Some(in_flight) = node.in_flight.take_if(|in_flight| now >= in_flight.ends_at) {
+            finish(node, in_flight, now);
         }
-        let around = Context {
+        let context = Context {
             reads_store: true,
-            is_hall_leader: leads,
+            is_hall_leader,
             halls: &halls,
             tally: &node.tally,
             utc: now,
             store_time: Some(Time(now.0 - START.0)),
             epoch_us: Some(0),
         };
-        let call = match node.duty.next(&around, now) {
+        let call = match node.reporter.next(&context, now) {
             Step::Rest => return,
             Step::Read => Call::Read,
-            Step::Write(change) => Call::Write(change),
+            Step::Write(transaction) => Call::Write(transaction),
             Step::Report(report) => Call::Report(report),
         };
-        self.depart(number, call);
+        self.send(number, call);
     }
 
-    /// The first of a data hall that runs leads it.
-    fn leads(&self, number: usize) -> bool {
+    /// Returns whether this is the first running entry of its data hall.
+    fn is_hall_leader(&self, number: usize) -> bool {
         let own = &self.nodes[number];
         let before = self.nodes[..number].iter();
         before
             .filter(|n| n.hall == own.hall)
-            .all(|n| n.is_gone || self.now < n.paused_until)
+            .all(|n| n.is_removed || self.now < n.paused_until)
     }
 
-    fn depart(&mut self, number: usize, call: Call) {
+    fn send(&mut self, number: usize, call: Call) {
         self.calls += 1;
         let now = self.now;
-        let late = match call {
-            Call::Write(_) => self.nodes[number].late.take(),
+        let delay = match call {
+            Call::Write(_) => self.nodes[number].write_delay.take(),
             _ => None,
         };
-        let mut takes = TICK;
-        let mut most = Span::from_millis(1_500);
+        let mut latency = TICK;
+        let mut max_wait = Span::from_millis(1_500);
         if let Call::Report(report) = &call {
-            most = most.min(report.timeout);
-            takes = self.slow.unwrap_or(TICK).min(most);
+            max_wait = max_wait.min(report.timeout);
+            latency = self.report_latency.unwrap_or(TICK).min(max_wait);
         }
-        let is_cut = now < self.nodes[number].cut_until;
-        if let (Some(late), Call::Write(change)) = (late, &call) {
-            self.stray.push((now + late, change.clone()));
+        let is_partitioned = now < self.nodes[number].partitioned_until;
+        if let (Some(delay), Call::Write(transaction)) = (delay, &call) {
+            self.delayed_writes.push((now + delay, transaction.clone()));
         }
-        let arrives = (!is_cut && late.is_none()).then_some(now + takes);
+        let executes_at = (!is_partitioned && delay.is_none()).then_some(now + latency);
         let node = &mut self.nodes[number];
-        let is_lost = node.lose > 0;
-        node.lose = node.lose.saturating_sub(1);
-        let ends = match arrives.is_some() && !is_lost {
-            true => now + takes + TICK,
-            false => now + most,
+        let is_lost = node.lost_answers > 0;
+        node.lost_answers = node.lost_answers.saturating_sub(1);
+        let ends_at = match executes_at.is_some() && !is_lost {
+            true => now + latency + TICK,
+            false => now + max_wait,
         };
-        node.trip = Some(Trip {
+        node.in_flight = Some(InFlight {
             call,
-            arrives,
-            ends,
+            executes_at,
+            ends_at,
             is_lost,
             answer: None,
         });
     }
 
-    /// Lets a call reach the store or the platform, also while its caller stands still.
-    fn arrive(&mut self, number: usize) {
+    /// Executes a call at the store or the platform, even while its caller is paused.
+    fn execute(&mut self, number: usize) {
         let now = self.now;
-        let Some(trip) = self.nodes[number].trip.clone() else {
+        let Some(in_flight) = self.nodes[number].in_flight.clone() else {
             return;
         };
-        if trip.answer.is_some() || trip.arrives.is_none_or(|at| now < at) {
+        if in_flight.answer.is_some() || in_flight.executes_at.is_none_or(|at| now < at) {
             return;
         }
-        self.nodes[number].trip.as_mut().unwrap().arrives = None;
-        let answer = match &trip.call {
-            Call::Report(_) if now < self.silent_until => None,
+        self.nodes[number].in_flight.as_mut().unwrap().executes_at = None;
+        let answer = match &in_flight.call {
+            Call::Report(_) if now < self.platform_down_until => None,
             Call::Report(report) => {
-                self.taken.push(Taken {
+                self.accepted.push(Accepted {
                     at: now,
                     holder: report.holder.to_string(),
                     fence: report.fence,
@@ -330,14 +332,14 @@
                 });
                 Some(Answer::Reported)
             }
-            _ if now < self.away_until => None,
+            _ if now < self.store_down_until => None,
             Call::Read => Some(self.rows()),
-            Call::Write(change) => Some(Answer::Written(self.change(change))),
+            Call::Write(transaction) => Some(Answer::Written(self.commit(transaction))),
         };
-        let trip = self.nodes[number].trip.as_mut().unwrap();
-        trip.answer = answer.filter(|_| !trip.is_lost);
-        if trip.answer.is_none() {
-            trip.ends = trip.ends.max(now + Span::from_millis(500));
+        let in_flight = self.nodes[number].in_flight.as_mut().unwrap();
+        in_flight.answer = answer.filter(|_| !in_flight.is_lost);
+        if in_flight.answer.is_none() {
+            in_flight.ends_at = in_flight.ends_at.max(now + Span::from_millis(500));
         }
     }
 
@@ -350,114 +352,115 @@
         Answer::Rows(Era(self.store.era), rows.collect())
     }
 
-    fn change(&mut self, change: &Transaction) -> Option<Stamp> {
+    fn commit(&mut self, transaction: &Transaction) -> Option<Stamp> {
         let store = &mut self.store;
         let version = |key: &String| store.rows.get(key).map_or(0, |(version, _)| *version);
-        if change.expect.iter().any(|(key, v)| version(key) != *v) {
+        if transaction.expect.iter().any(|(key, v)| version(key) != *v) {
             return None;
         }
         store.version += 1;
-        for (key, value) in &change.put {
+        for (key, value) in &transaction.put {
             let row = (store.version, value.clone());
             store.rows.insert(key.clone(), row);
         }
-        for key in &change.remove {
+        for key in &transaction.remove {
             store.rows.remove(key);
         }
-        assert!(change.put.len() + change.remove.len() + change.expect.len() <= 100);
+        assert!(transaction.put.len() + transaction.remove.len() + transaction.expect.len() <= 100);
         Some(Stamp::new(Era(store.era), store.version))
     }
 
-    /// Returns the entry that may act, or the first that runs.
+    /// Returns the entry that holds the lease, or the first running one.
     fn holder(&self) -> Option<usize> {
-        let up = |n: &&usize| !self.nodes[**n].is_gone;
+        let up = |n: &&usize| !self.nodes[**n].is_removed;
         let numbers: Vec<usize> = (0..self.nodes.len()).collect();
-        let holds = |n: &&usize| self.nodes[**n].duty.fence(self.now).is_some();
+        let holds = |n: &&usize| self.nodes[**n].reporter.fence(self.now).is_some();
         let holder = numbers.iter().filter(up).find(holds);
         holder.or(numbers.iter().find(up)).copied()
     }
 
-    /// Brings a trouble about.
-    pub fn strike(&mut self, trouble: Trouble) {
+    /// Injects a fault.
+    pub fn inject(&mut self, fault: Fault) {
         let now = self.now;
-        match trouble {
-            Trouble::Restore(age) => self.restore(age),
-            Trouble::Away(span) => self.away_until = now + span,
-            Trouble::Silent(span) => self.silent_until = now + span,
-            Trouble::Slow(span) => self.slow = Some(span),
+        match fault {
+            Fault::Restore(age) => self.restore(age),
+            Fault::StoreDown(span) => self.store_down_until = now + span,
+            Fault::PlatformDown(span) => self.platform_down_until = now + span,
+            Fault::SlowPlatform(span) => self.report_latency = Some(span),
             _ => {}
         }
         let Some(number) = self.holder() else {
             return;
         };
         let node = &mut self.nodes[number];
-        match trouble {
-            Trouble::Kill => {
+        match fault {
+            Fault::Kill => {
                 let starts = node.starts + 1;
                 let paused = now + Span::from_millis(500);
                 *node = self::node(node.name.clone(), node.hall.clone(), starts, false);
                 node.paused_until = paused;
             }
-            Trouble::Remove => node.is_gone = true,
-            Trouble::Pause(span) => node.paused_until = now + span,
-            Trouble::Cut(span) => node.cut_until = now + span,
-            Trouble::Lose(calls) => node.lose = calls,
-            Trouble::Late(span) => node.late = Some(span),
+            Fault::Remove => node.is_removed = true,
+            Fault::Pause(span) => node.paused_until = now + span,
+            Fault::Partition(span) => node.partitioned_until = now + span,
+            Fault::LoseAnswers(calls) => node.lost_answers = calls,
+            Fault::DelayWrite(span) => node.write_delay = Some(span),
             _ => {}
         }
     }
 
     fn restore(&mut self, age: Span) {
         let back = (age.micros() / TICK.micros()) as usize;
-        let at = self.copies.len().saturating_sub(back + 1);
+        let at = self.backups.len().saturating_sub(back + 1);
         let era = self.store.era + 1;
-        if let Some(copy) = self.copies.get(at) {
+        if let Some(copy) = self.backups.get(at) {
             self.store = copy.clone();
         }
         self.store.era = era;
-        self.copies.clear();
-        self.away_until = self.now + Span::from_millis(300);
-        self.stray.clear();
+        self.backups.clear();
+        self.store_down_until = self.now + Span::from_millis(300);
+        self.delayed_writes.clear();
     }
 
-    /// Checks what the platform asks of reports.
+    /// Checks the platform's requirements: one set of counts per window, one holder per fencing
+    /// token, and tokens that never decrease.
     pub fn check(&self) {
         let mut counts: BTreeMap<Window, &Counts> = BTreeMap::new();
         let mut fences: BTreeMap<u64, &str> = BTreeMap::new();
         let mut highest = 0;
-        for taken in &self.taken {
-            let first = counts.entry(taken.window).or_insert(&taken.counts);
+        for accepted in &self.accepted {
+            let first = counts.entry(accepted.window).or_insert(&accepted.counts);
             assert_eq!(
-                **first, taken.counts,
+                **first, accepted.counts,
                 "two reports of window {}",
-                taken.window
+                accepted.window
             );
-            let holder = fences.entry(taken.fence).or_insert(&taken.holder);
+            let holder = fences.entry(accepted.fence).or_insert(&accepted.holder);
             assert_eq!(
-                **holder, taken.holder,
+                **holder, accepted.holder,
                 "two holders of fence {}",
-                taken.fence
+                accepted.fence
             );
             assert!(
-                taken.fence >= highest,
+                accepted.fence >= highest,
                 "fence {} after {highest}",
-                taken.fence
+                accepted.fence
             );
-            highest = taken.fence;
+            highest = accepted.fence;
         }
         self.check_turns();
     }
 
-    /// Checks that nobody acts again within the lease after another acted between.
+    /// Checks that no entry acts again within the lease time if another acted in between.
     fn check_turns(&self) {
         let mut turns: Vec<(&str, Time, Time)> = Vec::new();
-        for taken in &self.taken {
+        for accepted in &self.accepted {
             match turns
                 .last_mut()
-                .filter(|(holder, ..)| *holder == taken.holder)
+                .filter(|(holder, ..)| *holder == accepted.holder)
             {
-                Some((_, _, last)) => *last = taken.at,
-                None => turns.push((&taken.holder, taken.at, taken.at)),
+                Some((_, _, last)) => *last = accepted.at,
+                None => turns.push((&accepted.holder, accepted.at, accepted.at)),
             }
         }
         for three in turns.windows(3) {
@@ -470,28 +473,29 @@
         }
     }
 
-    /// Returns the windows of a time that were reported within the bound, and how many there were.
-    pub fn in_time(&self, from: Time, to: Time) -> (Vec<Window>, usize) {
+    /// Returns the windows of a period that were reported before their deadline, and the number of
+    /// all windows.
+    pub fn reported_in_time(&self, from: Time, to: Time) -> (Vec<Window>, usize) {
         let first = Window::at(from, LENGTH);
         let last = Window::at(to, LENGTH);
         let all: Vec<Window> = (first.0..last.0).map(Window).collect();
         let is_in_time = |w: &Window| {
             let due = w.end(LENGTH) + LATE;
-            self.taken.iter().any(|t| t.window == *w && t.at <= due)
+            self.accepted.iter().any(|t| t.window == *w && t.at <= due)
         };
         let windows = all.len();
         (all.into_iter().filter(is_in_time).collect(), windows)
     }
 }
 
-fn end(node: &mut Node, trip: Trip, now: Time) {
-    match (trip.call, trip.answer) {
-        (Call::Read, Some(Answer::Rows(era, rows))) => node.duty.on_read(Some(era), rows, now),
-        (Call::Write(_), Some(Answer::Written(made))) => node.duty.on_written(made, now),
+fn finish(node: &mut Node, in_flight: InFlight, now: Time) {
+    match (in_flight.call, in_flight.answer) {
+        (Call::Read, Some(Answer::Rows(era, rows))) => node.reporter.on_read(Some(era), rows, now),
+        (Call::Write(_), Some(Answer::Written(made))) => node.reporter.on_written(made, now),
         (Call::Report(_), Some(Answer::Reported)) => {
-            node.duty.on_reported(Outcome::Taken, now, now);
+            node.reporter.on_reported(Outcome::Taken, now, now);
         }
-        (Call::Report(_), _) => node.duty.on_reported(Outcome::Unknown, now, now),
-        _ => node.duty.on_failed(now),
+        (Call::Report(_), _) => node.reporter.on_reported(Outcome::Unknown, now, now),
+        _ => node.reporter.on_failed(now),
     }
 }
--- a/crates/core/tests/policy.rs
+++ b/crates/core/tests/policy.rs
@@ -1,5 +1,5 @@
-//! The policies on their own: fair queue, shares of limits, the sequential test,
-//! subsets, leases and session keys.
+//! Tests of single policies: fair queue, shares of limits, sequential test, subsets, leases and
+//! session keys.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_flood_of_one_account_does_not_hold_up_another() {
+fn a_flood_of_one_account_does_not_delay_another() {
     let mut queue = Queue::default();
     for _ in 0..1000 {
         queue.push(item(Class::Standard, "large", 1));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn urgent_work_goes_first_and_no_class_waits_for_ever() {
+fn priority_work_goes_first_and_no_class_starves() {
     let mut queue = Queue::default();
     for _ in 0..1000 {
         queue.push(item(Class::Priority, "urgent", 1));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_request_past_its_deadline_is_told_and_not_started() {
+fn a_request_past_its_deadline_is_returned_as_expired() {
     let mut queue = Queue::default();
     let mut late = item(Class::Standard, "late", 1);
     late.deadline = Time(5);
@@ -80,7 +80,7 @@
     assert!(queue.is_empty());
 }
 
-/// Lets entries with these demands claim for a while; returns their shares.
+/// Simulates entries that report these demands repeatedly; returns their final shares.
 fn shares(demands: &[f64]) -> Vec<f64> {
     let mut allocator = Allocator::default();
     let mut shares = vec![0.0; demands.len()];
@@ -103,27 +103,27 @@
 #[test_case(&[2.0, 2.0, 2.0]; "all want more")]
 #[test_case(&[2.2, 0.5, 0.2]; "uneven")]
 #[test_case(&[3.0, 0.0, 0.0]; "one alone")]
-fn the_shares_used_add_up_to_the_limit(demands: &[f64]) {
+fn used_shares_add_up_to_the_limit(demands: &[f64]) {
     let shares = shares(demands);
     let used: f64 = demands.iter().zip(&shares).map(|(d, s)| d.min(*s)).sum();
     assert!((0.95..=1.02).contains(&used), "{used} by {shares:?}");
 }
 
-const BAR: Thresholds = Thresholds {
+const THRESHOLDS: Thresholds = Thresholds {
     floor: 0.8,
     bad_mean: 0.5,
     max_error: 0.05,
     false_alarm: 0.01,
 };
 
-/// Returns how many ratings of a mean it takes until a version is found bad.
+/// Returns the number of ratings with a mean after which a version is found bad.
 fn ratings_until_bad(mean: f64, good_first: usize, seed: u64) -> Option<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (mut evidence, mut detector) = (Evidence::default(), Detector::default());
     for i in 0..good_first + 400 {
         let mean = if i < good_first { 0.9 } else { mean };
-        evidence.rate(f64::from(u8::from(rng.random::<f64>() < mean)), &BAR);
-        if detector.update(&evidence, &BAR) {
+        evidence.rate(f64::from(u8::from(rng.random::<f64>() < mean)), &THRESHOLDS);
+        if detector.update(&evidence, &THRESHOLDS) {
             return Some(i + 1);
         }
     }
@@ -133,7 +133,7 @@
 #[test_case(0.3, 0, 30; "very bad from the start")]
 #[test_case(0.5, 0, 80; "just as bad as must be caught")]
 #[test_case(0.3, 500, 80; "very bad after 500 good ratings")]
-fn a_bad_version_is_found(mean: f64, good_first: usize, within: usize) {
+fn a_bad_version_is_detected(mean: f64, good_first: usize, within: usize) {
     let mut found: Vec<usize> = (0..40)
         .map(|seed| ratings_until_bad(mean, good_first, seed).expect("it is found"))
         .collect();
@@ -143,14 +143,14 @@
 }
 
 #[test]
-fn a_version_that_is_just_good_enough_is_seldom_held_back() {
+fn an_acceptable_version_is_rarely_found_bad() {
     let alarms = (0..1000).filter(|seed| ratings_until_bad(0.8, 0, *seed).is_some());
     let alarms = alarms.count();
     assert!(alarms <= 10, "{alarms} of 1,000");
 }
 
 #[test]
-fn every_upstream_is_covered_and_a_departure_moves_little() {
+fn every_upstream_is_covered_and_a_removal_changes_few_links() {
     let entries: Vec<InstanceId> = (0..60).map(|i| format!("e{i}").parse().unwrap()).collect();
     let upstreams: Vec<UpstreamId> = (0..200).map(|i| format!("u{i}").parse().unwrap()).collect();
     let all = |entries: &[InstanceId], upstreams: &[UpstreamId]| -> BTreeMap<InstanceId, _> {
@@ -184,8 +184,8 @@
 
 #[test]
 fn a_paused_holder_of_a_lease_is_fenced() {
-    let keeper = |n: u64| Elector::new(format!("e{n}").parse().unwrap(), Incarnation(n));
-    let (mut first, mut second) = (keeper(1), keeper(2));
+    let elector = |n: u64| Elector::new(format!("e{n}").parse().unwrap(), Incarnation(n));
+    let (mut first, mut second) = (elector(1), elector(2));
     let Step::Write { lease, .. } = first.observe(0.into(), None, Time(0)) else {
         panic!("a lease that nobody has is taken");
     };
@@ -205,14 +205,14 @@
     };
     assert_eq!((taken.fence, expect), (2, 1));
     second.observe(2.into(), Some(taken), later);
-    // The first was paused all the while: by its own clock it holds nothing,
-    // and the version that it would expect is no longer that of the row.
+    // The first process was paused meanwhile: on its own clock the lease has expired, and the row
+    // no longer has the version that its writes expect.
     assert_eq!(first.held(later), None);
     assert_eq!(second.held(later), Some((2.into(), 2)));
 }
 
 #[test]
-fn session_keys_rotate_without_a_break() {
+fn session_keys_rotate_without_interruption() {
     let key = |id: u8| format!("{id}:{}", format!("{id:02x}").repeat(32));
     let ring = |ids: &[u8]| -> Keyring {
         let keys: Vec<String> = ids.iter().map(|id| key(*id)).collect();
