--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -94,7 +94,7 @@
         self.since(Revision(first.revision.0 - 1))
     }
 
-    /// Returns the changes after a revision, or `None` if some of them are no longer retained.
+    /// Returns the changes after a revision, or `None` if not all of them are retained.
     pub fn since(&self, revision: Revision) -> Option<Vec<Change>> {
         let first = self.changes.front().map(|c| c.revision)?;
         if revision.next() < first {
--- a/crates/core/src/duty/mod.rs
+++ b/crates/core/src/duty/mod.rs
@@ -14,12 +14,12 @@
 //! let length = Span::from_millis(5_000);
 //! let mut tally = Tally::new(Incarnation(1), length);
 //! tally.record(&"mira".parse()?, Time(12_000_000));
-//! let told = tally.take_changes();
-//! assert_eq!(told[0].window, Window::at(Time(12_000_000), length));
+//! let updates = tally.take_changes();
+//! assert_eq!(updates[0].window, Window::at(Time(12_000_000), length));
 //!
-//! let mut head = Tally::new(Incarnation(2), length);
-//! head.merge(&"e-1".parse()?, told);
-//! assert_eq!(head.sum(Window(2)).total(), 1);
+//! let mut leader = Tally::new(Incarnation(2), length);
+//! leader.merge(&"e-1".parse()?, updates);
+//! assert_eq!(leader.sum(Window(2)).total(), 1);
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
--- a/crates/core/src/duty/rows.rs
+++ b/crates/core/src/duty/rows.rs
@@ -113,7 +113,7 @@
 /// Encodes the value of a row.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     // Serialization cannot fail: all maps have string keys.
-    serde_json::to_vec(value).expect("a row of duties is always JSON")
+    serde_json::to_vec(value).expect("a duty row always encodes as JSON")
 }
 
 /// Returns the key of a data hall's sum for a window.
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -6,10 +6,10 @@
 //! ```
 //! use sorreldeck::{Invariant, Invariants};
 //!
-//! let mut promises = Invariants::default();
-//! assert!(promises.check(Invariant::BilledOnce, true));
-//! assert!(!promises.check(Invariant::BilledOnce, false));
-//! assert_eq!(promises.violated(Invariant::BilledOnce), 1);
+//! let mut invariants = Invariants::default();
+//! assert!(invariants.check(Invariant::BilledOnce, true));
+//! assert!(!invariants.check(Invariant::BilledOnce, false));
+//! assert_eq!(invariants.violated(Invariant::BilledOnce), 1);
 //! ```
 
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -15,11 +15,11 @@
 //! use sorreldeck::lease::{Elector, Step};
 //! use sorreldeck::{Incarnation, Time};
 //!
-//! let mut keeper = Elector::new("e1".parse()?, Incarnation(1));
-//! let Step::Write { lease, expect } = keeper.observe(0.into(), None, Time(0)) else { panic!() };
+//! let mut elector = Elector::new("e1".parse()?, Incarnation(1));
+//! let Step::Write { lease, expect } = elector.observe(0.into(), None, Time(0)) else { panic!() };
 //! assert_eq!((lease.fence, expect), (1, 0));
-//! keeper.observe(7.into(), Some(lease), Time(1000));
-//! assert_eq!(keeper.held(Time(1000)), Some((7.into(), 1)));
+//! elector.observe(7.into(), Some(lease), Time(1000));
+//! assert_eq!(elector.held(Time(1000)), Some((7.into(), 1)));
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -379,8 +379,8 @@
         share
     }
 
-    /// Removes an entry whose link is gone. Its share stays reserved until it expires, since the
-    /// entry may go on using it.
+    /// Removes an entry whose link is gone. Its share stays reserved, since the entry may go on
+    /// using it for [`GRANT_TTL`].
     pub fn remove_link(&mut self, link: Link) {
         for claims in self.accounts.values_mut() {
             if let Some(claim) = claims.by_link.get_mut(&link) {
--- a/crates/core/src/spool.rs
+++ b/crates/core/src/spool.rs
@@ -8,9 +8,9 @@
 //! use sorreldeck::spool::Spool;
 //! use sorreldeck::{Incarnation, Time};
 //!
-//! let mut held = Spool::new(Incarnation(1));
-//! assert!(held.is_empty());
-//! assert!(held.due(Time(0), true).is_none());
+//! let mut spool = Spool::new(Incarnation(1));
+//! assert!(spool.is_empty());
+//! assert!(spool.due(Time(0), true).is_none());
 //! ```
 
 use crate::bill::Record;
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -181,8 +181,8 @@
     pub deadline_us: u64,
     /// The expected cost of the request, in tokens.
     pub tokens: u32,
-    /// Whether the request may be queued. If not, it is refused when no slot is free, so that
-    /// another upstream can be tried.
+    /// Whether the request may be queued. If not, it is refused at once when no slot is free, so
+    /// that another upstream can be tried.
     #[serde(rename = "patient")]
     pub may_queue: bool,
     /// The revision on which the entry based its decision.
--- a/crates/core/tests/duty/main.rs
+++ b/crates/core/tests/duty/main.rs
@@ -82,16 +82,16 @@
 #[test]
 fn merging_counts_each_incarnation_once() {
     let account: AccountId = "mira".parse().unwrap();
-    let mut head = Tally::new(Incarnation(9), LENGTH);
+    let mut leader = Tally::new(Incarnation(9), LENGTH);
     let mut first = Tally::new(Incarnation(1), LENGTH);
     first.record(&account, Time(1));
     first.record(&account, Time(2));
-    head.merge(&"e-1".parse().unwrap(), first.snapshot());
-    head.merge(&"e-1".parse().unwrap(), first.take_changes());
+    leader.merge(&"e-1".parse().unwrap(), first.snapshot());
+    leader.merge(&"e-1".parse().unwrap(), first.take_changes());
     let mut second = Tally::new(Incarnation(2), LENGTH);
     second.record(&account, Time(3));
-    head.merge(&"e-1".parse().unwrap(), second.take_changes());
-    assert_eq!(head.sum(Window(0)).of(&account), 3);
+    leader.merge(&"e-1".parse().unwrap(), second.take_changes());
+    assert_eq!(leader.sum(Window(0)).of(&account), 3);
 }
 
 #[test_case(Fault::Kill; "killed")]
