--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -1,11 +1,10 @@
-//! When a cascade accepts a cheap answer and when it asks the next version.
+//! Decides when a cascade accepts a cheap answer and when it queries the next version.
 //!
-//! For each class and step the policy keeps, by band of the model's confidence,
-//! how often the band occurs and how good the answers in it are rated. From
-//! these it finds the lowest confidence to accept at which the mean rating still
-//! reaches the target. A slow correction by the ratings of the answers that
-//! callers really got takes out what the estimate misses. Old ratings fade, so
-//! that a shift of the cheap version is followed.
+//! For each class and step, the policy divides the model's confidence into bands. It tracks how
+//! often each band occurs and the mean rating of its answers, and accepts answers from the lowest
+//! confidence at which the expected mean rating still reaches the target. A slow correction from
+//! the ratings of delivered answers removes the remaining bias of the estimate. Old ratings decay,
+//! so the policy follows changes of the cheap version.
 //!
 //! ```
 //! use sorreldeck::cascade::{Policy, Prices};
@@ -20,40 +19,39 @@
 //! assert!(!policy.accepts(0.1, 0.5));
 //! ```
 
-/// The bands of confidence.
+/// The number of confidence bands.
 const BANDS: usize = 20;
-/// How much of the older ratings is kept at each new one.
-const KEEP: f64 = 0.995;
-/// The weight of the prior in ratings: a band is taken to be as good as its
-/// neighbours and itself until it has about as many ratings of its own.
+/// The factor by which older ratings decay at each new one.
+const DECAY: f64 = 0.995;
+/// The weight of the prior, in ratings. The prior of a band is the mean over it and its neighbours,
+/// and dominates until the band has about as many ratings of its own.
 const PRIOR_WEIGHT: f64 = 2.0;
-/// How many standard errors the estimate must clear the target by.
-const CAUTION: f64 = 1.0;
-/// How far above the target the policy aims. A mean that only just reaches the
-/// target would lie below it for half of the callers; this is 1.645 standard
-/// errors of the mean rating of some 6,000 answers.
+/// The number of standard errors by which the estimate must exceed the target.
+const STANDARD_ERRORS: f64 = 1.0;
+/// The margin that is added to the target. A policy that aims at the target itself would leave half
+/// of the callers below it. The margin is 1.645 standard errors of the mean of about 6,000 ratings.
 const MARGIN: f64 = 0.0085;
-/// How fast the correction follows the ratings of answers given.
+/// The step size of the correction per rating of a delivered answer.
 const CORRECTION_GAIN: f64 = 0.004;
-/// The largest correction.
+/// The largest absolute correction.
 const CORRECTION_MAX: f64 = 0.08;
-/// The ratings of cheap answers before the estimate is trusted.
-const ENOUGH: f64 = 30.0;
-/// The share of requests asked at a step that is otherwise skipped.
-const EXPLORED: f64 = 0.04;
+/// The number of ratings of cheap answers below which every answer is escalated.
+const MIN_RATINGS: f64 = 30.0;
+/// The share of requests that still query a step which is otherwise skipped.
+const EXPLORATION_SHARE: f64 = 0.04;
 
-/// The expected price of one answer of each of two versions, in any one unit.
+/// The expected price of one answer of each of two versions, in the same unit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prices {
     /// The price at this step.
     pub cheap: f64,
-    /// The price of what would be asked instead.
+    /// The price of the version that is queried instead.
     pub expensive: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Band {
-    seen: f64,
+    answers: f64,
     ratings: f64,
     sum: f64,
     squares: f64,
@@ -65,27 +63,27 @@
     target: f64,
     prices: Prices,
     bands: [Band; BANDS],
-    dear: Band,
+    expensive: Band,
     correction: f64,
     threshold: f64,
     skip: bool,
 }
 
 impl Policy {
-    /// Creates a policy that escalates everything until it has learned.
+    /// Creates a policy that escalates every answer until it has enough ratings.
     pub fn new(target: f64, prices: Prices) -> Policy {
         Policy {
             target,
             prices,
             bands: [Band::default(); BANDS],
-            dear: Band::default(),
+            expensive: Band::default(),
             correction: 0.0,
             threshold: 1.0,
             skip: false,
         }
     }
 
-    /// Returns the target.
+    /// Returns the target mean rating.
     pub fn target(&self) -> f64 {
         self.target
     }
@@ -96,19 +94,18 @@
         self.prices = prices;
     }
 
-    /// Returns whether the step is to be asked at all; `draw` is a random
-    /// number in `[0, 1)`.
+    /// Returns whether to query this step at all; `draw` is a random number in `[0, 1)`.
     pub fn should_query(&self, draw: f64) -> bool {
-        !self.skip || draw < EXPLORED
+        !self.skip || draw < EXPLORATION_SHARE
     }
 
-    /// Returns whether an answer of this confidence is accepted; `draw` is a
-    /// random number in `[0, 1)` that divides the band at the threshold.
+    /// Returns whether to accept an answer of this confidence. The random number `draw` in `[0, 1)`
+    /// decides within the band that contains the threshold.
     pub fn accepts(&self, confidence: f64, draw: f64) -> bool {
         band_of(confidence) as f64 + draw >= self.threshold * BANDS as f64
     }
 
-    /// Returns the confidence from which answers are accepted.
+    /// Returns the lowest accepted confidence.
     pub fn threshold(&self) -> f64 {
         self.threshold
     }
@@ -116,57 +113,57 @@
     /// Counts an answer of the cheap version, rated or not.
     pub fn observe(&mut self, confidence: f64) {
         for band in &mut self.bands {
-            band.seen *= KEEP;
+            band.answers *= DECAY;
         }
-        self.bands[band_of(confidence)].seen += 1.0;
+        self.bands[band_of(confidence)].answers += 1.0;
     }
 
     /// Counts the rating of an answer of the cheap version.
     pub fn rate_cheap(&mut self, confidence: f64, rating: f64) {
         self.observe(confidence);
         for band in &mut self.bands {
-            band.fade();
+            band.decay();
         }
         self.bands[band_of(confidence)].rate(rating);
-        self.learn();
+        self.update_threshold();
     }
 
-    /// Counts the rating of an answer of the dear version.
+    /// Counts the rating of an answer of the expensive version.
     pub fn rate_expensive(&mut self, rating: f64) {
-        self.dear.fade();
-        self.dear.rate(rating);
+        self.expensive.decay();
+        self.expensive.rate(rating);
     }
 
-    /// Counts the rating of an answer that a caller got.
+    /// Counts the rating of an answer that was delivered to the caller.
     pub fn rate_delivered(&mut self, rating: f64) {
         let step = CORRECTION_GAIN * (self.target + MARGIN - rating);
         self.correction = (self.correction + step).clamp(-CORRECTION_MAX, CORRECTION_MAX);
     }
 
-    /// Finds the lowest threshold at which the estimate reaches the target.
-    fn learn(&mut self) {
+    /// Sets the lowest threshold at which the estimate reaches the target.
+    fn update_threshold(&mut self) {
         let rated: f64 = self.bands.iter().map(|b| b.ratings).sum();
-        let seen: f64 = self.bands.iter().map(|b| b.seen).sum();
-        if rated < ENOUGH || self.dear.ratings < 1.0 {
+        let answers: f64 = self.bands.iter().map(|b| b.answers).sum();
+        if rated < MIN_RATINGS || self.expensive.ratings < 1.0 {
             self.threshold = 1.0;
             return;
         }
-        let dear = self.dear.sum / self.dear.ratings;
-        let goal = (self.target + MARGIN + self.correction).min(dear);
+        let expensive = self.expensive.sum / self.expensive.ratings;
+        let goal = (self.target + MARGIN + self.correction).min(expensive);
         let means = self.smooth_means();
-        let mut quality = dear;
+        let mut quality = expensive;
         let mut variance = 0.0;
         let mut threshold = 1.0;
         let mut accepted = 0.0;
         for band in (0..BANDS).rev() {
-            let share = self.bands[band].seen / seen;
+            let share = self.bands[band].answers / answers;
             let (mean, error) = means[band];
-            let gain = share * (mean - dear);
+            let gain = share * (mean - expensive);
             let spread = variance + (share * error).powi(2);
-            if quality + gain - CAUTION * spread.sqrt() < goal {
-                let room = quality - CAUTION * variance.sqrt() - goal;
+            if quality + gain - STANDARD_ERRORS * spread.sqrt() < goal {
+                let slack = quality - STANDARD_ERRORS * variance.sqrt() - goal;
                 let part = if gain < 0.0 {
-                    (room / -gain).clamp(0.0, 1.0)
+                    (slack / -gain).clamp(0.0, 1.0)
                 } else {
                     0.0
                 };
@@ -180,34 +177,35 @@
             threshold = band as f64 / BANDS as f64;
         }
         self.threshold = threshold;
-        // Asking first pays when the dear answers it saves cost more than it.
+        // Querying this step pays only if the expensive answers that it saves cost more than the
+        // step.
         self.skip = accepted * self.prices.expensive < self.prices.cheap;
     }
 
-    /// Returns the mean rating of each band and the standard error of it.
+    /// Returns the mean rating of each band with its standard error.
     fn smooth_means(&self) -> [(f64, f64); BANDS] {
         let mut means = [(0.0, 0.0); BANDS];
         for (i, slot) in means.iter_mut().enumerate() {
-            let mut near = Band::default();
+            let mut nearby = Band::default();
             let neighbours = i.saturating_sub(1)..=(i + 1).min(BANDS - 1);
             for band in &self.bands[neighbours] {
-                near.add(band);
+                nearby.add(band);
             }
             let own = &self.bands[i];
-            let prior = near.mean().unwrap_or(0.0);
+            let prior = nearby.mean().unwrap_or(0.0);
             let n = own.ratings + PRIOR_WEIGHT;
             let mean = (own.sum + PRIOR_WEIGHT * prior) / n;
-            *slot = (mean, (near.variance() / n).sqrt());
+            *slot = (mean, (nearby.variance() / n).sqrt());
         }
         means
     }
 }
 
 impl Band {
-    fn fade(&mut self) {
-        self.ratings *= KEEP;
-        self.sum *= KEEP;
-        self.squares *= KEEP;
+    fn decay(&mut self) {
+        self.ratings *= DECAY;
+        self.sum *= DECAY;
+        self.squares *= DECAY;
     }
 
     fn rate(&mut self, rating: f64) {
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -1,70 +1,71 @@
-//! Whether asking another upstream helps after an error.
+//! Whether a retry on another upstream is worthwhile after an upstream returned an error.
 //!
-//! An upstream that answers with an error may have been asked for what cannot be answered, may
-//! have had a bad moment, or may be broken. Nobody says which, and it differs from one service to the
-//! next. So an entry counts, for each pool and route, how often another upstream then answered
-//! well, and asks again as long as that pays; where it does not, it tries now and then.
+//! An error may be caused by the request, by a temporary fault or by a broken upstream. The answer
+//! does not say which, and the mix differs between services. An entry therefore tracks, for each
+//! pool and route, how often a retry on another upstream succeeded. It retries while the success
+//! rate is high enough and otherwise only probes occasionally.
 //!
 //! ```
 //! use sorreldeck::failover::Outcomes;
 //!
-//! let mut merits = Outcomes::default();
+//! let mut outcomes = Outcomes::default();
 //! let (pool, route) = ("roster".parse()?, "look".parse()?);
-//! assert!(merits.should_retry(&pool, &route));
+//! assert!(outcomes.should_retry(&pool, &route));
 //! for _ in 0..200 {
-//!     merits.record(&pool, &route, false);
+//!     outcomes.record(&pool, &route, false);
 //! }
-//! let asked = (0..160).filter(|_| merits.should_retry(&pool, &route));
-//! assert_eq!(asked.count(), 10);
+//! let retried = (0..160).filter(|_| outcomes.should_retry(&pool, &route));
+//! assert_eq!(retried.count(), 10);
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
 use crate::id::{PoolId, RouteId};
 use std::collections::HashMap;
 
-/// The share of repeats that are taken to help until some were tried.
+/// The success rate assumed before any retry.
 const PRIOR: f64 = 0.5;
-/// How much one repeat counts: 21 entries see some 40 errors of a service in a minute each.
+/// The weight of one retry in the moving average. With 21 entries, each sees about 40 errors of a
+/// service per minute.
 const WEIGHT: f64 = 1.0 / 16.0;
-/// The share from which on asking again pays. A repeat costs its service one more run, and its
-/// caller waits some 20 ms longer for an answer that is an error all the same.
-const PAYS: f64 = 0.1;
-/// Of how many errors one is asked again where it does not pay, to see whether it does now.
-const TRIED: u32 = 16;
+/// The lowest success rate at which retries are worthwhile. A retry costs the service one more run,
+/// and a caller whose retry fails waits about 20 ms longer for the error.
+const MIN_SUCCESS_RATE: f64 = 0.1;
+/// The number of errors per probing retry while the success rate is too low.
+const PROBE_INTERVAL: u32 = 16;
 
-/// How often asking again helped, by pool and route.
+/// The success rates of retries, by pool and route.
 #[derive(Clone, Debug, Default)]
-pub struct Outcomes(HashMap<(PoolId, RouteId), Merit>);
+pub struct Outcomes(HashMap<(PoolId, RouteId), Stats>);
 
 #[derive(Clone, Copy, Debug)]
-struct Merit {
-    helped: f64,
-    passed: u32,
+struct Stats {
+    success_rate: f64,
+    skipped: u32,
 }
 
-impl Default for Merit {
+impl Default for Stats {
     fn default() -> Self {
-        Merit {
-            helped: PRIOR,
-            passed: 0,
+        Stats {
+            success_rate: PRIOR,
+            skipped: 0,
         }
     }
 }
 
 impl Outcomes {
-    /// Returns whether a request that an upstream answered with an error is sent to another one.
+    /// Returns whether to retry on another upstream after an error.
     pub fn should_retry(&mut self, pool: &PoolId, route: &RouteId) -> bool {
-        let merit = self.0.entry((pool.clone(), route.clone())).or_default();
-        if merit.helped >= PAYS {
+        let stats = self.0.entry((pool.clone(), route.clone())).or_default();
+        if stats.success_rate >= MIN_SUCCESS_RATE {
             return true;
         }
-        merit.passed = (merit.passed + 1) % TRIED;
-        merit.passed == 0
+        stats.skipped = (stats.skipped + 1) % PROBE_INTERVAL;
+        stats.skipped == 0
     }
 
-    /// Notes whether another upstream answered well.
-    pub fn record(&mut self, pool: &PoolId, route: &RouteId, helped: bool) {
-        let merit = self.0.entry((pool.clone(), route.clone())).or_default();
-        merit.helped += WEIGHT * (f64::from(u8::from(helped)) - merit.helped);
+    /// Records whether a retry on another upstream succeeded.
+    pub fn record(&mut self, pool: &PoolId, route: &RouteId, succeeded: bool) {
+        let stats = self.0.entry((pool.clone(), route.clone())).or_default();
+        stats.success_rate += WEIGHT * (f64::from(u8::from(succeeded)) - stats.success_rate);
     }
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,10 +1,10 @@
-//! A budget that keeps what is sent once more a share of the requests, over all entries.
+//! A budget that limits retries to a share of the requests, over all entries.
 //!
-//! The share is kept over a window that slides, with some slack. Each entry keeps to its
-//! own requests and to its part of the slack, so all of them together keep to the whole
-//! without a counter that they share. A process that starts anew has forgotten what was
-//! spent before it, so an entry uses half of its part of the slack, and somewhat less of all
-//! until a window has passed since its start.
+//! The limit applies to every sliding window, plus some slack. Each entry limits its retries by its
+//! own requests and its part of the slack, so all entries together stay within the limit without a
+//! shared counter. A restarted process does not know what its predecessor has spent. An entry
+//! therefore uses only half of its part of the slack, and less than its whole limit until a window
+//! has passed since its start.
 //!
 //! ```
 //! use sorreldeck::retry::{Allowance, Budget};
@@ -22,51 +22,51 @@
 use crate::unit::{Share, Span, Time};
 use std::collections::VecDeque;
 
-/// What all entries together may send once more, unless set otherwise: the slack lets one
-/// process begin with 20 before it has seen a request.
+/// The default limit of all entries together. The slack lets a single process start with 20 retries
+/// before its first request.
 pub const DEFAULT_ALLOWANCE: Allowance = Allowance {
     share: Share::FIFTH,
     window: Span::from_millis(10_000),
     slack: 40,
 };
-/// The parts in which a window is counted.
-const PARTS: u64 = 20;
-/// The parts of half a window.
-const HALF: u64 = PARTS / 2;
-/// The part of its slack that an entry uses.
+/// The number of buckets in a window.
+const BUCKETS: u64 = 20;
+/// The number of buckets in half a window.
+const HALF_WINDOW: u64 = BUCKETS / 2;
+/// The fraction of its slack that an entry uses.
 const SLACK_USED: f64 = 0.5;
 
-/// The part of what is allowed that is used in windows which began before this process did, and may
-/// hold repeats of the one that it replaces.
-/// At 0.8, with the slack in full, three entries that were killed at once and repeated all
-/// they could came to 13 repeats over, of some 500 requests in the window.
-const AFTER_START: f64 = 0.7;
+/// The fraction of the limit used in windows that began before this process started and may contain
+/// retries of its predecessor. At 0.8 with the whole slack, three entries that were killed at once
+/// and made all permitted retries exceeded the limit by 13 retries, of about 500 requests in the
+/// window.
+const STARTUP_USED: f64 = 0.7;
 
-/// What may be sent once more in any window of time.
+/// The limit of retries in any window of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// The share of the requests in the window.
+    /// The retries allowed, as a share of the requests in the window.
     pub share: Share,
     /// The length of the window.
     pub window: Span,
-    /// The repeats that are allowed besides, over all entries.
+    /// The retries allowed in addition, over all entries.
     pub slack: u32,
 }
 
-/// One part of a window.
+/// The requests and retries in one part of a window.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct Bucket {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// A budget of repeats, filled by requests.
+/// A retry budget, filled by requests.
 #[derive(Clone, Debug)]
 pub struct Budget {
     allowance: Allowance,
-    parts: VecDeque<Part>,
-    /// The part in which the first request came.
+    buckets: VecDeque<Bucket>,
+    /// The bucket of the first request.
     start: Option<u64>,
 }
 
@@ -75,94 +75,94 @@
     pub fn new(allowance: Allowance) -> Budget {
         Budget {
             allowance,
-            parts: VecDeque::new(),
+            buckets: VecDeque::new(),
             start: None,
         }
     }
 
-    /// Counts a request.
+    /// Counts a request towards the budget.
     pub fn deposit(&mut self, now: Time) {
-        self.part(now).requests += 1;
+        self.bucket(now).requests += 1;
     }
 
-    /// Returns whether there is a repeat in the budget, where so many entries share the
-    /// slack.
+    /// Returns whether the budget allows a retry when this many entries share the slack.
     ///
-    /// The repeats of each window that holds the present moment are compared with the
-    /// requests of the window half a window before it, as far as they are known: so what all
-    /// entries repeat in any window keeps to the requests of one.
+    /// The retries of each window that contains the present are compared with the requests of the
+    /// window that starts half a window earlier, as far as these are known. The retries of all
+    /// entries in any window thus stay within the limit given by the requests of one window.
     pub fn can_withdraw(&mut self, now: Time, entries: usize) -> bool {
-        let current = self.part(now).number;
+        let current = self.bucket(now).number;
         let slack = f64::from(self.allowance.slack) * SLACK_USED / entries.max(1) as f64;
-        let first = current.saturating_sub(PARTS);
+        let first = current.saturating_sub(BUCKETS);
         (first..=current).all(|begin| {
-            let repeats = self.count(begin, current, |part| part.repeats) + 1;
+            let retries = self.count(begin, current, |bucket| bucket.retries) + 1;
             let requests = self.requests(begin, current);
             let share = f64::from(requests) * self.allowance.share.fraction();
-            // Sums of shares are inexact, so one repeat may fall a hair short.
-            f64::from(repeats) <= (share + slack) * self.trust(begin) + 1e-9
+            // Sums of shares are inexact; the tolerance prevents the loss of one retry.
+            f64::from(retries) <= (share + slack) * self.usable_fraction(begin) + 1e-9
         })
     }
 
-    /// Returns the requests that allow the repeats of a window that begins in a part: those
-    /// around that part or, soon after the start of this process, those of the window itself
-    /// if they are more. A window may begin anywhere in a part, so the outer ones do not count.
+    /// Returns the requests that count for the retries of a window which begins in a bucket. These
+    /// are the requests around that bucket or, shortly after the start of this process, those of
+    /// the window itself if there are more. A window may begin anywhere in a bucket, so the
+    /// outermost buckets do not count.
     fn requests(&self, begin: u64, current: u64) -> u32 {
-        let from = (begin + 1).saturating_sub(HALF);
-        let around = self.count(from, begin + HALF - 1, |part| part.requests);
+        let from = (begin + 1).saturating_sub(HALF_WINDOW);
+        let around = self.count(from, begin + HALF_WINDOW - 1, |bucket| bucket.requests);
         match self.start {
-            Some(start) if begin <= start => self.count(start, current, |part| part.requests),
-            Some(start) if begin < start + HALF => {
-                let own = self.count(begin + 1, current, |part| part.requests);
+            Some(start) if begin <= start => self.count(start, current, |bucket| bucket.requests),
+            Some(start) if begin < start + HALF_WINDOW => {
+                let own = self.count(begin + 1, current, |bucket| bucket.requests);
                 own.max(around)
             }
             _ => around,
         }
     }
 
-    /// Returns the part of what is allowed that is used in a window which begins in a part.
-    fn trust(&self, begin: u64) -> f64 {
+    /// Returns the fraction of the limit that is used in a window which begins in a bucket.
+    fn usable_fraction(&self, begin: u64) -> f64 {
         match self.start.is_some_and(|start| begin <= start) {
-            true => AFTER_START,
+            true => STARTUP_USED,
             false => 1.0,
         }
     }
 
-    /// Adds up what the parts from one number to another hold.
-    fn count(&self, from: u64, to: u64, of: impl Fn(&Part) -> u32) -> u32 {
-        let within = |part: &&Part| (from..=to).contains(&part.number);
-        self.parts.iter().filter(within).map(of).sum()
+    /// Sums a count over the buckets in a range of numbers.
+    fn count(&self, from: u64, to: u64, of: impl Fn(&Bucket) -> u32) -> u32 {
+        let within = |bucket: &&Bucket| (from..=to).contains(&bucket.number);
+        self.buckets.iter().filter(within).map(of).sum()
     }
 
-    /// Takes a repeat from the budget; returns whether there was one.
+    /// Takes a retry from the budget and returns whether there was one.
     pub fn withdraw(&mut self, now: Time, entries: usize) -> bool {
-        let enough = self.can_withdraw(now, entries);
-        if enough {
-            self.part(now).repeats += 1;
+        let allowed = self.can_withdraw(now, entries);
+        if allowed {
+            self.bucket(now).retries += 1;
         }
-        enough
+        allowed
     }
 
-    /// Returns the present part, and forgets those that are out of the window.
-    fn part(&mut self, now: Time) -> &mut Part {
-        let length = (self.allowance.window.micros() / PARTS).max(1);
-        let last = self.parts.back().map_or(0, |p| p.number);
+    /// Returns the current bucket and drops those outside the window.
+    fn bucket(&mut self, now: Time) -> &mut Bucket {
+        let length = (self.allowance.window.micros() / BUCKETS).max(1);
+        let last = self.buckets.back().map_or(0, |p| p.number);
         let number = (now.0 / length).max(last);
         while self
-            .parts
+            .buckets
             .front()
-            .is_some_and(|p| p.number + PARTS + HALF < number)
+            .is_some_and(|p| p.number + BUCKETS + HALF_WINDOW < number)
         {
-            self.parts.pop_front();
+            self.buckets.pop_front();
         }
         self.start.get_or_insert(number);
-        if self.parts.back().is_none_or(|p| p.number < number) {
-            self.parts.push_back(Part {
+        if self.buckets.back().is_none_or(|p| p.number < number) {
+            self.buckets.push_back(Bucket {
                 number,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
-        self.parts.back_mut().expect("one was just added")
+        self.buckets.back_mut().expect("a bucket was just added")
     }
 }
--- a/crates/core/src/reuse.rs
+++ b/crates/core/src/reuse.rs
@@ -1,21 +1,23 @@
-//! How often the beginnings of prompts come again, which decides how widely one is kept.
+//! Tracks how often prompt prefixes recur, which decides over how many data halls a cached prefix
+//! is shared.
 //!
-//! A beginning that is kept at one upstream of each data hall is near, and read once in each.
-//! Kept at one upstream of all, it is read once, and most requests cross to another hall.
-//! Which is better follows from how long it takes to be read and how often it is asked for.
+//! If each data hall has its own home for a prefix, requests stay in their hall, but every hall has
+//! to prefill the prefix. With one home for all halls the prefix is prefilled once, but most
+//! requests cross to another hall. Which is better depends on the prefill time and on how often the
+//! prefix is requested.
 //!
 //! ```
 //! use sorreldeck::reuse::{Reuse, Scope};
 //! use sorreldeck::{Span, Time};
 //!
 //! let mut reuse = Reuse::default();
-//! let kind = ("drafts".parse()?, 0);
-//! for beginning in 0..400 {
-//!     reuse.record(&kind, beginning / 2, Time(beginning * 1_000));
+//! let group = ("drafts".parse()?, 0);
+//! for prefix in 0..400 {
+//!     reuse.record(&group, prefix / 2, Time(prefix * 1_000));
 //! }
 //! let (short, long) = (Span::from_millis(5), Span::from_millis(900));
-//! assert_eq!(reuse.scope(&kind, short, 3, 3, 1.0), Scope::Hall);
-//! assert_eq!(reuse.scope(&kind, long, 3, 3, 1.0), Scope::All);
+//! assert_eq!(reuse.scope(&group, short, 3, 3, 1.0), Scope::Hall);
+//! assert_eq!(reuse.scope(&group, long, 3, 3, 1.0), Scope::All);
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
@@ -24,70 +26,70 @@
 use crate::unit::{Span, Time};
 use std::collections::HashMap;
 
-/// The requests that the share of new beginnings looks back on.
-const OVER: f64 = 64.0;
-/// The share assumed at first: as many are new as come again.
+/// The number of recent requests that determine the share of new prefixes.
+const WINDOW: f64 = 64.0;
+/// The share of new prefixes before any request.
 const PRIOR: f64 = 0.5;
-/// The beginnings remembered before old ones are looked for.
-const MOST: usize = 4096;
+/// The number of tracked prefixes above which expired ones are removed.
+const MAX_TRACKED: usize = 4096;
 
-/// What is counted apart: a route, and the place of the model among its sizes.
+/// The group for which the share of new prefixes is tracked: a route and the index of the model
+/// among its sizes.
 pub type Group = (RouteId, usize);
 
-/// Over which upstreams a beginning has one home.
+/// The upstreams among which a prefix has one home.
 ///
-/// Measured on calcne-recife, 36 plays without processor time: 0.651 with one in each data
-/// hall, 0.662 with one for all; chosen by [`Reuse::scope`], 18 plays: 0.657 to 0.670. On
-/// saa-kazi, where reading is quick, 18 plays: 0.628 with either.
+/// If prefill is slow, [`Scope::All`] gives a better result, since the saved prefill outweighs the
+/// crossings. If prefill is fast, the scopes are equal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Scope {
-    /// Those of each data hall.
+    /// The upstreams of the same data hall.
     #[default]
     Hall,
-    /// All.
+    /// All upstreams.
     All,
 }
 
-/// How often beginnings come again to this entry.
+/// How often prefixes recur at this entry.
 #[derive(Clone, Debug, Default)]
 pub struct Reuse {
-    used: HashMap<u64, Time>,
-    new: HashMap<Group, f64>,
+    last_used: HashMap<u64, Time>,
+    new_share: HashMap<Group, f64>,
 }
 
 impl Reuse {
-    /// Notes that a beginning is asked for.
-    pub fn record(&mut self, kind: &Group, beginning: u64, now: Time) {
-        let last = self.used.insert(beginning, now);
+    /// Records a request for a prefix.
+    pub fn record(&mut self, group: &Group, prefix: u64, now: Time) {
+        let last = self.last_used.insert(prefix, now);
         let is_new = last.is_none_or(|last| now.since(last) >= PREFIX_LIFETIME);
-        let share = self.new.entry(kind.clone()).or_insert(PRIOR);
-        *share += (f64::from(u8::from(is_new)) - *share) / OVER;
-        if self.used.len() > MOST {
-            self.used
+        let share = self.new_share.entry(group.clone()).or_insert(PRIOR);
+        *share += (f64::from(u8::from(is_new)) - *share) / WINDOW;
+        if self.last_used.len() > MAX_TRACKED {
+            self.last_used
                 .retain(|_, last| now.since(*last) < PREFIX_LIFETIME);
         }
     }
 
-    /// Returns over which upstreams a beginning that takes this long to be read has one
-    /// home, where this many entries share the requests of this many data halls.
+    /// Returns the scope of a prefix that takes this long to prefill, for requests of this many
+    /// data halls that are spread over this many entries.
     ///
-    /// `weight` tells how much time matters as against what is paid for crossing.
-    /// Requests that come at random find a beginning gone with a chance that falls as a
-    /// power of how many entries ask for it.
+    /// `weight` is the value of latency relative to the cost of crossing halls. When requests
+    /// arrive at random, the probability that a prefix is no longer cached falls as a power of the
+    /// number of entries that request it.
     pub fn scope(
         &self,
-        kind: &Group,
-        reading: Span,
+        group: &Group,
+        prefill: Span,
         entries: usize,
         halls: usize,
         weight: f64,
     ) -> Scope {
         let halls = halls.max(1) as f64;
         let entries = (entries as f64).max(halls);
-        let new = self.new.get(kind).copied().unwrap_or(PRIOR);
-        let spared = new.powf(entries / halls) - new.powf(entries);
+        let new_share = self.new_share.get(group).copied().unwrap_or(PRIOR);
+        let saved = new_share.powf(entries / halls) - new_share.powf(entries);
         let crossing = CROSS_HALL_PENALTY.secs_f64() * (1.0 - 1.0 / halls);
-        match reading.secs_f64() * spared * weight > crossing {
+        match prefill.secs_f64() * saved * weight > crossing {
             true => Scope::All,
             false => Scope::Hall,
         }
--- a/crates/core/src/saturation.rs
+++ b/crates/core/src/saturation.rs
@@ -1,21 +1,20 @@
-//! How close the upstreams of a pool are to being overloaded, as callers feel it.
+//! Measures how close the upstreams of a pool are to overload.
 //!
-//! The measure is the time that runs take to begin, in parts of the time within
-//! which they ought to. While there is spare capacity an unsure answer of a small
-//! model is worth asking a larger one; when there is none, the larger model's
-//! work is what makes everybody late.
+//! The saturation level is the time that runs take to start, as a fraction of the objective for it.
+//! While capacity is spare, it is worth querying a larger model when the answer of a small one is
+//! uncertain. Without spare capacity, the additional work of the larger model delays all requests.
 //!
 //! ```
 //! use sorreldeck::saturation::Tracker;
 //! use sorreldeck::Span;
 //!
-//! let mut strains = Tracker::default();
+//! let mut tracker = Tracker::default();
 //! let pool: sorreldeck::PoolId = "assistant".parse()?;
-//! assert_eq!(strains.headroom(&pool), 1.0);
+//! assert_eq!(tracker.headroom(&pool), 1.0);
 //! for _ in 0..200 {
-//!     strains.record(&pool, Span::from_millis(3_000), Span::from_millis(2_000));
+//!     tracker.record(&pool, Span::from_millis(3_000), Span::from_millis(2_000));
 //! }
-//! assert_eq!(strains.headroom(&pool), 0.0);
+//! assert_eq!(tracker.headroom(&pool), 0.0);
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
@@ -23,66 +22,67 @@
 use crate::unit::Span;
 use std::collections::BTreeMap;
 
-/// The part of the objective that runs take to begin up to which nothing is
-/// strained: on quiet days of both sites the mean is 0.1 to 0.2.
-const CALM: f64 = 0.25;
-/// The part from which on nothing is spare: 0.60 and 0.75 were tried on days of both
-/// grown sites, where 0.60 earned a little more under load.
-const FULL: f64 = 0.6;
-/// How much one run counts: an entry sees some 40 a second.
+/// The saturation level up to which the whole capacity counts as spare. On days with little load,
+/// the mean level is 0.1 to 0.2.
+const LOW_LEVEL: f64 = 0.25;
+/// The saturation level from which no capacity counts as spare. At 0.75, queries of larger models
+/// left too little headroom under load.
+const HIGH_LEVEL: f64 = 0.6;
+/// The weight of one run in the moving average of the current level; an entry sees about 40 runs
+/// per second.
 const WEIGHT: f64 = 1.0 / 32.0;
-/// How much one run counts for what is usual: some 25 s of an entry.
-const USUAL_WEIGHT: f64 = 1.0 / 256.0;
-/// The most that one run counts as, so that one that waited for its whole
-/// deadline does not outweigh all others.
-const MOST: f64 = 2.0;
+/// The weight of one run in the long-term average, which covers about 25 s of an entry's runs.
+const LONG_TERM_WEIGHT: f64 = 1.0 / 256.0;
+/// The highest level of one run, so that a run that waited for its whole deadline does not outweigh
+/// all others.
+const MAX_LEVEL: f64 = 2.0;
 
-/// How strained each pool is.
+/// The saturation levels of all pools.
 #[derive(Clone, Debug, Default)]
-pub struct Tracker(BTreeMap<PoolId, Strain>);
+pub struct Tracker(BTreeMap<PoolId, Averages>);
 
-/// The mean part of the objective that runs take to begin.
+/// The moving averages of the level of one pool.
 #[derive(Clone, Copy, Debug)]
-struct Strain {
-    /// Of the latest runs.
-    now: f64,
-    /// Over a long time.
-    usual: f64,
+struct Averages {
+    /// The current level.
+    recent: f64,
+    /// The long-term level.
+    long_term: f64,
 }
 
-impl Default for Strain {
+impl Default for Averages {
     fn default() -> Self {
-        Strain {
-            now: 0.0,
-            usual: CALM,
+        Averages {
+            recent: 0.0,
+            long_term: LOW_LEVEL,
         }
     }
 }
 
 impl Tracker {
-    /// Notes how long a run took to begin.
+    /// Records how long a run took to start.
     pub fn record(&mut self, pool: &PoolId, waited: Span, objective: Span) {
-        let part = waited.secs_f64() / objective.secs_f64().max(1e-3);
-        let part = part.min(MOST);
-        let strain = self.0.entry(pool.clone()).or_default();
-        strain.now += WEIGHT * (part - strain.now);
-        strain.usual += USUAL_WEIGHT * (part - strain.usual);
+        let level = waited.secs_f64() / objective.secs_f64().max(1e-3);
+        let level = level.min(MAX_LEVEL);
+        let averages = self.0.entry(pool.clone()).or_default();
+        averages.recent += WEIGHT * (level - averages.recent);
+        averages.long_term += LONG_TERM_WEIGHT * (level - averages.long_term);
     }
 
-    /// Returns the mean part of the objective that runs take to begin.
+    /// Returns the current saturation level.
     pub fn level(&self, pool: &PoolId) -> f64 {
-        self.0.get(pool).map_or(0.0, |strain| strain.now)
+        self.0.get(pool).map_or(0.0, |averages| averages.recent)
     }
 
-    /// Returns how many times as much as on a calm day the time that answers take to begin
-    /// usually matters: the nearer they are to being late, the more is a second worth.
+    /// Returns how much latency matters, relative to low load. The closer answers usually are to
+    /// missing their objective, the more a second is worth.
     pub fn latency_weight(&self, pool: &PoolId) -> f64 {
-        let strain = self.0.get(pool).copied().unwrap_or_default();
-        strain.usual / CALM
+        let averages = self.0.get(pool).copied().unwrap_or_default();
+        averages.long_term / LOW_LEVEL
     }
 
-    /// Returns how much is spare, from 0 to 1.
+    /// Returns the spare capacity as a fraction from 0 to 1.
     pub fn headroom(&self, pool: &PoolId) -> f64 {
-        ((FULL - self.level(pool)) / (FULL - CALM)).clamp(0.0, 1.0)
+        ((HIGH_LEVEL - self.level(pool)) / (HIGH_LEVEL - LOW_LEVEL)).clamp(0.0, 1.0)
     }
 }
