--- a/crates/core/src/failure.rs
+++ b/crates/core/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a request got no answer, and what its caller is told.
+//! Why a request failed, and the HTTP status and error code that the caller receives.
 //!
 //! ```
 //! use sorreldeck::{Failure, Reason, Verdict};
@@ -15,7 +15,7 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident, $code:literal, $status:literal;)*) => {
-        /// Why a request got no answer.
+        /// Why a request was not answered.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum Reason {
@@ -23,10 +23,10 @@
         }
 
         impl Reason {
-            /// Every reason, in the order of the documentation.
+            /// Every reason, in the order in which they are documented.
             pub const ALL: &'static [Reason] = &[$(Reason::$name),*];
 
-            /// Returns the code in error bodies.
+            /// Returns the code that is written to error bodies.
             pub fn code(self) -> &'static str {
                 match self {
                     $(Reason::$name => $code,)*
@@ -46,9 +46,9 @@
 reasons! {
     /// The request carries no API key.
     NoKey, "no_key", 401;
-    /// The API key is not known.
+    /// The API key is unknown.
     BadKey, "bad_key", 401;
-    /// The client account may not do this.
+    /// The client account is not allowed to do this.
     NotAllowed, "not_allowed", 403;
     /// There is no such model.
     UnknownModel, "unknown_model", 404;
@@ -56,47 +56,48 @@
     UnknownPath, "unknown_path", 404;
     /// The request is malformed.
     BadRequest, "bad_request", 400;
-    /// The session token is forged, foreign or sealed with a retired key.
+    /// The session token is forged, sealed with a retired key, or belongs to another client account
+    /// or model.
     BadSession, "bad_session", 400;
-    /// The body is larger than the node allows.
+    /// The body exceeds the size limit of the node.
     TooLarge, "too_large", 413;
     /// The request did not arrive in time.
     TooSlow, "too_slow", 408;
-    /// The client account has used up its rate.
+    /// The client account has exhausted its rate.
     LimitReached, "limit_reached", 429;
-    /// The request could not begin within its deadline.
+    /// The request could not start within its deadline.
     Overloaded, "overloaded", 503;
-    /// No upstream that could answer is in reach.
+    /// No connected upstream can answer the request.
     NoUpstream, "no_upstream", 503;
     /// The route chooses the model; the caller must not name one.
     ModelNamed, "model_named", 421;
-    /// No configuration is known yet.
+    /// The process has not received a configuration yet.
     NotReady, "not_ready", 503;
-    /// The time that the caller or the route allows has passed.
+    /// The time limit of the caller or the route has passed.
     TimedOut, "timed_out", 504;
-    /// The version asked for takes no new work.
+    /// The requested version takes no new requests.
     Withdrawn, "withdrawn", 409;
-    /// The sender knew an older configuration than the receiver.
+    /// The sender uses an older configuration than the receiver.
     Stale, "stale", 503;
-    /// The process is about to stop.
+    /// The process is shutting down.
     Leaving, "leaving", 503;
-    /// The platform's table is out of reach and the request needs it.
+    /// The platform's table, which the request needs, cannot be reached.
     StoreDown, "store_down", 503;
     /// A request with the same idempotency key was already claimed.
     Duplicate, "duplicate", 409;
-    /// The upstream failed or closed in mid-answer.
+    /// The upstream failed, or closed the connection before the end of its answer.
     UpstreamFailed, "upstream_failed", 502;
     /// The request crashes the upstreams that run it.
     Quarantined, "quarantined", 503;
-    /// The upstream went down while the request was there.
+    /// The upstream went down while it ran the request.
     UpstreamLost, "upstream_lost", 502;
-    /// The upstream's answer belonged to another request.
+    /// The upstream's answer belongs to another request.
     ForeignAnswer, "foreign_answer", 502;
-    /// The link to the sidecar broke while the request was there.
+    /// The link to the sidecar broke during the request.
     LinkLost, "link_lost", 502;
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled, "cancelled", 499;
-    /// An invariant would have been broken; the action was refused.
+    /// The action would have broken an invariant and was refused.
     Invariant, "invariant", 500;
 }
 
@@ -106,16 +107,16 @@
     }
 }
 
-/// Why a request got no whole answer, and whether it may have run.
+/// Why a request got no complete answer, and whether it may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
     /// The kind of failure.
     pub reason: Reason,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// When the caller may come back, where that is known.
+    /// When the caller may retry, if known.
     pub retry_after: Option<Span>,
-    /// A sentence for people.
+    /// A human-readable explanation.
     pub message: String,
 }
 
@@ -125,7 +126,7 @@
         Failure::new(reason, Verdict::NotRun, message)
     }
 
-    /// Creates a failure with what is known about the request.
+    /// Creates a failure of a request with a verdict on whether it ran.
     pub fn new(reason: Reason, verdict: Verdict, message: impl Into<String>) -> Failure {
         Failure {
             reason,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Adds when the caller may come back.
+    /// Sets when the caller may retry.
     pub fn retry_after(mut self, span: Span) -> Failure {
         self.retry_after = Some(span);
         self
--- a/crates/core/src/halls.rs
+++ b/crates/core/src/halls.rs
@@ -1,12 +1,11 @@
-//! Which data halls get work.
+//! Which data halls receive requests.
 //!
-//! Operators empty a data hall before work on its instances, and take it back later. From
-//! then on its upstreams get nothing new, whatever it is that looks for one: first tries
-//! and repeats, streams that go on elsewhere, steps of cascades, trials of releases. What runs
-//! there ends in peace.
+//! Operators evacuate a data hall before they work on its instances and restore it later. While it
+//! is evacuated, its upstreams receive no new requests of any kind: no first attempts or retries,
+//! resumed streams, cascade steps or trials of a release. Running requests complete normally.
 //!
-//! The order is strict. Where it leaves a pool without upstreams, requests for it are refused
-//! at once: upstreams that are about to lose power would take them and not answer.
+//! Evacuation is strict. If it leaves a pool without upstreams, requests for the pool are refused
+//! at once, since upstreams that are about to lose power would accept them and never answer.
 //!
 //! ```
 //! use sorreldeck::halls::Halls;
@@ -16,7 +15,7 @@
 //! let mut halls = Halls::default();
 //! assert_eq!(halls.evacuate([hall.clone()].into()).evacuated, [hall.clone()]);
 //! assert!(!halls.is_open(Some(&hall)));
-//! // An upstream whose data hall is not known is in none that was emptied.
+//! // An upstream in no known data hall is never evacuated.
 //! assert!(halls.is_open(None));
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
@@ -24,52 +23,52 @@
 use crate::id::Hall;
 use std::collections::BTreeSet;
 
-/// Which data halls get work.
+/// The data halls that receive no requests.
 #[derive(Clone, Debug, Default)]
 pub struct Halls {
-    /// Those that were ordered to be emptied, apart from the configuration.
+    /// The data halls evacuated by command, independently of the configuration.
     ordered: BTreeSet<Hall>,
-    /// Those that the configuration empties.
+    /// The data halls evacuated by the configuration.
     configured: BTreeSet<Hall>,
 }
 
-/// What an order changes.
+/// The data halls whose state a command or configuration changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// The data halls that get no work any more.
+    /// The data halls that no longer receive requests.
     pub evacuated: Vec<Hall>,
-    /// The data halls that get work again.
+    /// The data halls that receive requests again.
     pub restored: Vec<Hall>,
 }
 
 impl Halls {
-    /// Sets which data halls are ordered to be empty; the others of earlier orders get work
-    /// again, unless the configuration empties them.
+    /// Sets which data halls are evacuated by command. Those of earlier commands are restored
+    /// unless the configuration evacuates them.
     pub fn evacuate(&mut self, evacuated: BTreeSet<Hall>) -> Change {
         let before = self.evacuated();
         self.ordered = evacuated;
-        self.since(&before)
+        self.changes_from(&before)
     }
 
-    /// Sets which data halls the configuration empties.
+    /// Sets which data halls are evacuated by the configuration.
     pub fn configure(&mut self, evacuated: BTreeSet<Hall>) -> Change {
         let before = self.evacuated();
         self.configured = evacuated;
-        self.since(&before)
+        self.changes_from(&before)
     }
 
-    /// Returns whether upstreams of a data hall get work; those of none that is known do.
+    /// Returns whether upstreams of a data hall receive requests; those in no known data hall do.
     pub fn is_open(&self, hall: Option<&Hall>) -> bool {
-        let is_empty = |hall| self.ordered.contains(hall) || self.configured.contains(hall);
-        !hall.is_some_and(is_empty)
+        let is_evacuated = |hall| self.ordered.contains(hall) || self.configured.contains(hall);
+        !hall.is_some_and(is_evacuated)
     }
 
-    /// Returns the data halls that get no work.
+    /// Returns the data halls that receive no requests.
     pub fn evacuated(&self) -> BTreeSet<Hall> {
         self.ordered.union(&self.configured).cloned().collect()
     }
 
-    fn since(&self, before: &BTreeSet<Hall>) -> Change {
+    fn changes_from(&self, before: &BTreeSet<Hall>) -> Change {
         let now = self.evacuated();
         Change {
             evacuated: now.difference(before).cloned().collect(),
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,7 +1,7 @@
-//! Which node, model and version a request gets, and why.
+//! Determines the node, model and version of a request, with the reason for the choice.
 //!
-//! Everything here is a pure function of the tree, the request and one random
-//! draw, so that `explain` runs the same code as the daemon.
+//! All functions here are pure functions of the tree, the request and one random number, so
+//! `explain` runs the same code as the daemon.
 //!
 //! ```
 //! use sorreldeck::route::{self, Caller};
@@ -21,18 +21,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a caller says about itself.
+/// The identification that a caller sends with a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller<'a> {
     /// The API key.
     pub key: Option<&'a str>,
     /// The route below the node of the key.
     pub route: Option<&'a str>,
-    /// The class asked for.
+    /// The requested class.
     pub class: Option<&'a str>,
 }
 
-/// The node that a request belongs to, with all that it inherits.
+/// The node of a request, with inherited settings.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// The path of the node.
@@ -41,7 +41,7 @@
     pub account: AccountId,
     /// The class of the request.
     pub class: Class,
-    /// The settings in force.
+    /// The settings in force, including inherited ones.
     pub node: Arc<Node>,
 }
 
@@ -49,41 +49,42 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The split of the model or node.
+    /// The traffic split of the model or node.
     Split,
     /// The stage of a roll-out.
     Rollout(RolloutId),
     /// The session keeps its version.
     Session,
-    /// The session's version takes no new work; the session moved from it.
+    /// The session moved from this version, which takes no new requests.
     Moved(VersionId),
     /// A step of a cascade.
     Cascade(CascadeId),
 }
 
-/// A version and why it was chosen.
+/// A chosen version and the reason for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// The version.
     pub version: VersionId,
-    /// Why.
+    /// The reason.
     pub cause: Cause,
 }
 
-/// What a name that callers ask for stands for.
+/// What a requested model name refers to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A model, of which one version answers.
+    /// A model; one of its versions answers.
     Model(ModelId),
-    /// A cascade, whose versions are asked in turn.
+    /// A cascade; its versions are queried in turn.
     Cascade(CascadeId),
 }
 
-/// Finds the node, client account and class of a request.
+/// Determines the node, client account and class of a request.
 ///
 /// # Errors
 ///
-/// Fails, not run, when the key, route or class is unknown or not allowed.
+/// Fails with [`Verdict::NotRun`](crate::Verdict::NotRun) if the key, route or class is unknown or
+/// not allowed.
 pub fn identify(tree: &Tree, caller: &Caller) -> Result<Context, Failure> {
     let key = caller
         .key
@@ -95,11 +96,12 @@
     context(tree, path, caller.class)
 }
 
-/// Finds the client account of a request that a route describes.
+/// Determines the client account of a request to a configured route.
 ///
 /// # Errors
 ///
-/// Fails, not run, when the route needs an API key and this one is not known.
+/// Fails with [`Verdict::NotRun`](crate::Verdict::NotRun) if the route requires an API key and this
+/// one is unknown.
 pub fn identify_on_route(
     tree: &Tree,
     route: &Route,
@@ -124,12 +126,12 @@
     })
 }
 
-/// Returns the site of a request at a node, with the class asked for.
+/// Returns the context of a request at a node with the requested class.
 ///
 /// # Errors
 ///
-/// Fails, not run, when there is no such node, it has no client account or the
-/// class is not allowed.
+/// Fails with [`Verdict::NotRun`](crate::Verdict::NotRun) if the node does not exist or has no
+/// client account, or if the class is not allowed.
 pub fn context(tree: &Tree, path: NodePath, class: Option<&str>) -> Result<Context, Failure> {
     let node = tree
         .effective(&path)
@@ -184,19 +186,20 @@
     Ok(class)
 }
 
-/// Finds what the name asked for stands for.
+/// Determines what a requested name refers to.
 ///
 /// # Errors
 ///
-/// Fails, not run, when the name is unknown or not allowed. Both look alike to
-/// a caller that may not use the name, so that it learns nothing of others.
-pub fn target(tree: &Tree, site: &Context, name: &str) -> Result<Target, Failure> {
-    if !site.node.allows_model(name) {
+/// Fails with [`Verdict::NotRun`](crate::Verdict::NotRun) if the name is unknown or not allowed.
+/// The message does not tell a caller that may not use the name whether it exists, so that it learns
+/// nothing about the names of others; only the reason differs.
+pub fn target(tree: &Tree, context: &Context, name: &str) -> Result<Target, Failure> {
+    if !context.node.allows_model(name) {
         let reason = match tree.has_model(name) {
             true => Reason::NotAllowed,
             false => Reason::UnknownModel,
         };
-        let message = format!("client account {} may not use {name:?}", site.account);
+        let message = format!("client account {} may not use {name:?}", context.account);
         return Err(Failure::not_run(reason, message));
     }
     let unknown = || Failure::not_run(Reason::UnknownModel, format!("there is no model {name:?}"));
@@ -206,7 +209,7 @@
     name.parse().map(Target::Model).map_err(|_| unknown())
 }
 
-/// Returns whether a version takes new work as far as the tree says.
+/// Returns whether a version takes new requests according to the tree.
 pub fn takes_work(tree: &Tree, version: &VersionId) -> bool {
     let serving = tree
         .version(version)
@@ -214,7 +217,7 @@
     serving && !held_back(tree, version)
 }
 
-/// Returns whether a roll-out found the version bad.
+/// Returns whether a roll-out holds the version back as bad.
 fn held_back(tree: &Tree, version: &VersionId) -> bool {
     tree.progress().iter().any(|(name, progress)| {
         progress.phase == Phase::Held
@@ -224,24 +227,25 @@
     })
 }
 
-/// Chooses the version that answers.
+/// Chooses the version that answers a request.
 ///
-/// `draw` is a random number in `[0, 1)`; `suspect` says which versions this
-/// process has stopped giving work to ahead of the record.
+/// `draw` is a random number in `[0, 1)`; `suspect` returns whether this process has stopped
+/// sending requests to a version before the recorded state says so.
 ///
 /// # Errors
 ///
-/// Fails, not run, when no version that the client account is allowed takes
-/// new work.
+/// Fails with [`Verdict::NotRun`](crate::Verdict::NotRun) if no version that the client account may
+/// use takes new requests.
 pub fn version(
     tree: &Tree,
-    site: &Context,
+    context: &Context,
     model: &ModelId,
     session: Option<&Session>,
     draw: f64,
     suspect: impl Fn(&VersionId) -> bool,
 ) -> Result<Choice, Failure> {
-    let usable = |v: &VersionId| site.node.allows_version(v) && takes_work(tree, v) && !suspect(v);
+    let usable =
+        |v: &VersionId| context.node.allows_version(v) && takes_work(tree, v) && !suspect(v);
     if let Some(session) = session {
         if usable(&session.version) {
             return Ok(Choice {
@@ -250,13 +254,13 @@
             });
         }
     }
-    let fresh = fresh_version(tree, site, model, draw, &usable);
+    let drawn = draw_version(tree, context, model, draw, &usable);
     let Some(session) = session else {
-        return fresh;
+        return drawn;
     };
     let version = match successor(tree, &session.version, &usable) {
         Some(version) => version,
-        None => fresh?.version,
+        None => drawn?.version,
     };
     Ok(Choice {
         version,
@@ -276,15 +280,15 @@
     Some(next.clone())
 }
 
-fn fresh_version(
+fn draw_version(
     tree: &Tree,
-    site: &Context,
+    context: &Context,
     model: &ModelId,
     draw: f64,
     usable: &impl Fn(&VersionId) -> bool,
 ) -> Result<Choice, Failure> {
     let mut draw = draw;
-    if let Some((name, to, share)) = moving(tree, model) {
+    if let Some((name, to, share)) = active_rollout(tree, model) {
         let share = share.fraction();
         if draw < share && usable(to) {
             return Ok(Choice {
@@ -292,19 +296,19 @@
                 cause: Cause::Rollout(name.clone()),
             });
         }
-        // What is left of the draw is as good as a new one.
+        // Rescaled, the rest of the draw is uniform again.
         draw = match draw < share {
             true => draw / share,
             false => (draw - share) / (1.0 - share),
         };
     }
-    let split = split(tree, site, model)?;
+    let split = split(tree, context, model)?;
     let candidates: Vec<(&VersionId, f64)> = split
         .iter()
         .filter(|(v, share)| share.fraction() > 0.0 && usable(v))
         .map(|(v, share)| (v, share.fraction()))
         .collect();
-    let version = weighted(&candidates, draw)
+    let version = draw_weighted(&candidates, draw)
         .or_else(|| tree.versions_of(model.as_str()).find(|v| usable(v)))
         .ok_or_else(|| {
             let message = format!("no version of {model} that the account may use takes new work");
@@ -316,8 +320,11 @@
     })
 }
 
-/// Returns the roll-out that moves a model now, its version and share.
-fn moving<'a>(tree: &'a Tree, model: &ModelId) -> Option<(&'a RolloutId, &'a VersionId, Share)> {
+/// Returns the roll-out in progress for a model, its version and current share.
+fn active_rollout<'a>(
+    tree: &'a Tree,
+    model: &ModelId,
+) -> Option<(&'a RolloutId, &'a VersionId, Share)> {
     let (name, rollout) = tree
         .rollouts()
         .iter()
@@ -332,15 +339,15 @@
 
 fn split<'a>(
     tree: &'a Tree,
-    site: &'a Context,
+    context: &'a Context,
     model: &ModelId,
 ) -> Result<&'a BTreeMap<VersionId, Share>, Failure> {
-    let own = site.node.splits.as_ref().and_then(|all| all.get(model));
+    let own = context.node.splits.as_ref().and_then(|all| all.get(model));
     own.or_else(|| tree.model(model).map(|m| &m.split))
         .ok_or_else(|| Failure::not_run(Reason::UnknownModel, format!("there is no model {model}")))
 }
 
-fn weighted<'a>(candidates: &[(&'a VersionId, f64)], draw: f64) -> Option<&'a VersionId> {
+fn draw_weighted<'a>(candidates: &[(&'a VersionId, f64)], draw: f64) -> Option<&'a VersionId> {
     let sum: f64 = candidates.iter().map(|(_, w)| w).sum();
     let mut left = draw * sum;
     for (version, weight) in candidates {
--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -1,9 +1,9 @@
-//! Sealed session tokens: the caller carries what ties a session to its version.
+//! Sealed session tokens, in which the caller carries the state that binds a session to its
+//! version.
 //!
-//! Nothing is kept by us, so a session outlives every entry and sidecar. The
-//! token is sealed with XChaCha20-Poly1305 under a key from the process
-//! settings; the first key seals, all of them open, so keys rotate without a
-//! break.
+//! Entries and sidecars store no session state, so a session outlives any of them. A token is
+//! sealed with XChaCha20-Poly1305 under a key from the process settings. The first key seals and
+//! all keys open, so keys can be rotated without invalidating sessions.
 //!
 //! ```
 //! use sorreldeck::session::{Keyring, Session};
@@ -33,22 +33,22 @@
 
 const NONCE_LEN: usize = 24;
 const KEY_LEN: usize = 32;
-const PURPOSE: &[u8] = b"sorreldeck session 1";
+const ASSOCIATED_DATA: &[u8] = b"sorreldeck session 1";
 
-/// What a session token holds.
+/// The content of a session token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Session {
     /// The client account that the session belongs to.
     pub account: AccountId,
-    /// The model or cascade asked for.
+    /// The requested model or cascade.
     pub model: String,
-    /// The version that the session keeps.
+    /// The version to which the session is bound.
     pub version: VersionId,
-    /// The upstream that answered last and may hold the prefix in its cache.
+    /// The upstream that answered last and may still have the prefix cached.
     pub upstream: Option<UpstreamId>,
 }
 
-/// The keys that seal and open tokens, the sealing key first.
+/// The keys that seal and open tokens; the first one seals.
 #[derive(Clone)]
 pub struct Keyring(Vec<Key>);
 
@@ -59,14 +59,14 @@
 }
 
 impl Keyring {
-    /// Seals a session. The nonce must be drawn at random for each token.
+    /// Seals a session. The nonce must be random for each token.
     pub fn seal(&self, session: &Session, nonce: [u8; NONCE_LEN]) -> String {
         let key = &self.0[0];
         let mut plain = Vec::new();
         ciborium::into_writer(session, &mut plain).expect("a session is always CBOR");
         let payload = Payload {
             msg: &plain,
-            aad: PURPOSE,
+            aad: ASSOCIATED_DATA,
         };
         let sealed = key
             .cipher
@@ -82,8 +82,8 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Category::Denied`] when the token is forged, damaged or
-    /// sealed with a key that is no longer on the ring.
+    /// Fails with [`Category::Denied`] if the token is forged, damaged or sealed with a key that is
+    /// no longer on the keyring.
     pub fn open(&self, token: &str) -> Result<Session> {
         let denied = || Error::new(Category::Denied, "the session token does not open");
         let buf = URL_SAFE_NO_PAD.decode(token).map_err(|_| denied())?;
@@ -94,7 +94,7 @@
         let (nonce, sealed) = buf[1..].split_at(NONCE_LEN);
         let payload = Payload {
             msg: sealed,
-            aad: PURPOSE,
+            aad: ASSOCIATED_DATA,
         };
         let nonce: [u8; NONCE_LEN] = nonce.try_into().map_err(|_| denied())?;
         let plain = key
@@ -108,7 +108,7 @@
 impl FromStr for Keyring {
     type Err = Error;
 
-    /// Reads `ID:HEX` keys separated by commas, the sealing key first.
+    /// Parses `ID:HEX` keys separated by commas; the first one seals.
     fn from_str(s: &str) -> Result<Self> {
         let keys: Result<Vec<_>> = s.split(',').map(parse_key).collect();
         keys.map(Keyring)
@@ -116,21 +116,21 @@
 }
 
 fn parse_key(s: &str) -> Result<Key> {
-    // The text is a secret, so the error must not repeat it.
-    let wrong = || {
+    // The text contains a secret, so the error must not quote it.
+    let malformed = || {
         Error::new(
             Category::Invalid,
             "a key is written ID:HEX, ID 0 to 255 and 64 digits",
         )
     };
-    let (id, hex) = s.split_once(':').ok_or_else(wrong)?;
-    let id = id.parse().map_err(|_| wrong())?;
-    let bytes = parse_hex(hex).ok_or_else(wrong)?;
+    let (id, hex) = s.split_once(':').ok_or_else(malformed)?;
+    let id = id.parse().map_err(|_| malformed())?;
+    let bytes = parse_hex(hex).ok_or_else(malformed)?;
     let cipher = XChaCha20Poly1305::new(&bytes.into());
     Ok(Key { id, cipher })
 }
 
-/// Reads a 32-byte key in hexadecimal.
+/// Parses a 32-byte key in hexadecimal.
 pub fn parse_hex(s: &str) -> Option<[u8; KEY_LEN]> {
     if s.len() != 2 * KEY_LEN || !s.is_ascii() {
         return None;
--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is known about whether a request has run.
+//! Whether a request may have run.
 //!
 //! ```
 //! use sorreldeck::Verdict;
@@ -13,21 +13,21 @@
 
 /// Whether a request may have run at an upstream.
 ///
-/// Knowledge only grows: a verdict starts as [`Verdict::NotRun`] and is raised
-/// as bytes leave for the upstream and as the upstream answers.
+/// A verdict is never lowered. It starts as [`Verdict::NotRun`] and is raised when bytes are sent
+/// to the upstream and when the upstream answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// No upstream was given the request.
+    /// No upstream received the request.
     NotRun,
-    /// An upstream may have been given the request; the outcome is unknown.
+    /// An upstream may have received the request; whether it ran is unknown.
     MayHaveRun,
     /// An upstream ran the request.
     Ran,
 }
 
 impl Verdict {
-    /// Returns whether a request that may not be repeated can still be sent.
+    /// Returns whether a request that must not run twice can still be sent.
     pub fn may_repeat(self) -> bool {
         self == Verdict::NotRun
     }
@@ -37,7 +37,7 @@
         self.max(other)
     }
 
-    /// Returns the text used in headers and error bodies.
+    /// Returns the text that is used in headers and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not-run",
--- a/crates/core/src/warmup.rs
+++ b/crates/core/src/warmup.rs
@@ -1,14 +1,14 @@
-//! How much an upstream gets that has just started.
+//! Limits the requests to an upstream that has just started.
 //!
-//! A cold upstream is slow and goes down when it gets much more than it bears. It looks
-//! idle, so without a limit every entry would choose it at once. The limit is one rate over
-//! all entries, which cannot count together in time. So a few of them are drawn for each
-//! cold upstream by a hash of the names, no more than requests that it bears in a second, and
-//! each of these keeps a pause between its own. What one entry does holds whatever it
-//! hears of the others.
+//! A cold upstream is slow and fails if it receives many more requests than it can handle. It
+//! appears idle, so without a limit every entry would choose it at once. The limit is one rate
+//! for all entries, which cannot synchronize counters in time. For each cold upstream, a hash of
+//! the names selects a few entries, at most as many as the requests per second that the upstream
+//! can handle. Each selected entry pauses between its own requests. An entry therefore keeps to its
+//! part of the rate regardless of what it knows about the requests of the others.
 //!
-//! That an upstream is cold is told late or not at all, so one that could not be reached, or
-//! went down under a request, counts as cold until some time after it answers again.
+//! The report that an upstream is cold arrives late or never. An upstream that could not be reached
+//! or went down during a request therefore counts as cold until some time after it answers again.
 //!
 //! ```
 //! use sorreldeck::warmup::{Entries, Ramp};
@@ -30,7 +30,7 @@
 use crate::id::InstanceId;
 use crate::unit::{Rate, Span, Time};
 
-/// The entries that share a rate of an upstream.
+/// The entries that share the rate limit of an upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Entries {
     own: u64,
@@ -38,7 +38,7 @@
 }
 
 impl Entries {
-    /// Creates the entries that are known to one of them; its own name may be among the others.
+    /// Creates the set of entries known to one of them; `others` may include its own name.
     pub fn new<'a>(own: &InstanceId, others: impl Iterator<Item = &'a InstanceId>) -> Entries {
         let number = |name: &InstanceId| digest::truncate(&blake3::hash(name.as_str().as_bytes()));
         let others = others.filter(|name| *name != own).map(number);
@@ -48,17 +48,18 @@
         }
     }
 
-    /// Returns how long this entry pauses between requests to a cold upstream that bears this
-    /// rate, or `None` where the upstream is left to others. A number stands for the upstream.
+    /// Returns the pause of this entry between requests to a cold upstream that can handle `rate`,
+    /// or `None` if other entries are selected for it. `upstream` is the identifier of the
+    /// upstream's start.
     pub fn pause(&self, upstream: u64, rate: Rate) -> Option<Span> {
         let all = self.count();
-        let bears = rate.per_second().max(f64::MIN_POSITIVE);
-        let senders = all.min((bears as usize).max(1));
-        let sends = self.is_selected(senders, upstream);
-        sends.then(|| Span::from_secs_f64(senders as f64 / bears))
+        let limit = rate.per_second().max(f64::MIN_POSITIVE);
+        let senders = all.min((limit as usize).max(1));
+        let is_selected_here = self.is_selected(senders, upstream);
+        is_selected_here.then(|| Span::from_secs_f64(senders as f64 / limit))
     }
 
-    /// Returns whether this entry is among so many that are drawn for an upstream.
+    /// Returns whether this entry is among the `drawn` entries selected for an upstream.
     pub fn is_selected(&self, drawn: usize, upstream: u64) -> bool {
         let rank = |entry: u64| digest::mix(entry ^ upstream);
         let own = rank(self.own);
@@ -66,59 +67,59 @@
         before.take(drawn).count() < drawn
     }
 
-    /// Returns how many entries there are.
+    /// Returns the number of entries.
     pub fn count(&self) -> usize {
         self.others.len() + 1
     }
 
-    /// Returns a number from 0 to 1 that is another for each entry and upstream.
+    /// Returns a number from 0 to 1 that differs between entries and upstreams.
     pub fn phase(&self, upstream: u64) -> f64 {
         digest::mix(self.own ^ upstream) as f64 / u64::MAX as f64
     }
 }
 
-/// Whether an upstream is cold, and what this entry sent there last.
+/// Whether an upstream is cold, and when this entry last sent it a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ramp {
-    /// Until when it is cold.
-    until: Time,
-    /// Whether it may have started anew, since it could not be reached.
-    doubted: bool,
+    /// The time until which it is cold.
+    cold_until: Time,
+    /// Whether it was unreachable and may have restarted since.
+    possibly_restarted: bool,
     sent: Option<Time>,
 }
 
 impl Ramp {
-    /// Notes that the upstream is cold for so long from now on.
+    /// Marks the upstream as cold for this long from now on.
     pub fn mark_cold(&mut self, now: Time, left: Span) {
-        self.until = self.until.max(now + left);
+        self.cold_until = self.cold_until.max(now + left);
     }
 
-    /// Notes that the upstream could not be reached or went down.
+    /// Marks the upstream as possibly restarted, after it was unreachable or went down.
     pub fn suspect_restart(&mut self) {
-        self.doubted = true;
+        self.possibly_restarted = true;
     }
 
-    /// Notes that the upstream answers. One that was doubted may have started at any moment
-    /// since, so it is cold for the whole span yet.
+    /// Records an answer. If the upstream was possibly restarted, it may have started at any moment
+    /// until now, so it is cold for the whole span from now on.
     pub fn answered(&mut self, now: Time, span: Span) {
-        if std::mem::take(&mut self.doubted) {
+        if std::mem::take(&mut self.possibly_restarted) {
             self.mark_cold(now, span);
         }
     }
 
     /// Returns whether the upstream counts as cold.
     pub fn is_cold(&self, now: Time) -> bool {
-        self.doubted || now < self.until
+        self.possibly_restarted || now < self.cold_until
     }
 
-    /// Returns whether this entry may send a request; `pause` is what it keeps between two of
-    /// them while the upstream is cold.
+    /// Returns whether this entry may send a request; `pause` returns the minimum time between two
+    /// requests while the upstream is cold.
     pub fn admits(&self, now: Time, pause: impl FnOnce() -> Option<Span>) -> bool {
-        let rested = |pause: Span| self.sent.is_none_or(|at| now.since(at) >= pause);
-        !self.is_cold(now) || pause().is_some_and(rested)
+        let has_paused = |pause: Span| self.sent.is_none_or(|at| now.since(at) >= pause);
+        !self.is_cold(now) || pause().is_some_and(has_paused)
     }
 
-    /// Notes a request sent.
+    /// Records a sent request.
     pub fn sent(&mut self, now: Time) {
         self.sent = Some(now);
     }
