--- a/crates/core/src/pick/availability.rs
+++ b/crates/core/src/pick/availability.rs
@@ -1,26 +1,27 @@
-//! What work an upstream gets, for people: the answer of [`Peers`], and why.
+//! A human-readable description of which requests an upstream receives from this entry, and why.
 
 use super::{Link, Peers};
 use crate::unit::{Rate, Span, Time};
 use std::fmt;
 
-/// What work an upstream gets from this entry, and why not all.
+/// Which requests an upstream receives from this entry, and why not all.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Availability {
-    /// Whatever comes.
+    /// All requests.
     All,
-    /// None any more: it leaves.
+    /// None: it is leaving.
     Leaving,
-    /// None: its data hall is emptied.
+    /// None: its data hall is evacuated.
     Evacuated,
-    /// None for this long: it asked this entry for rest.
+    /// None for this long: it asked this entry for a pause.
     Resting(Span),
-    /// Its part of the requests a second that it takes from all entries; the next one may go
-    /// there after this long.
+    /// This entry's part of the limit in requests per second for all entries; the next request may
+    /// be sent after this long.
     Limited(Rate, Span),
-    /// Little: it is cold.
+    /// Few: it is cold.
     Cold,
-    /// None for this long, as long as there are others: it failed, or turns other entries away.
+    /// None for this long while other upstreams are available: it failed, or refused requests of
+    /// other entries.
     PassedOver(Span),
 }
 
@@ -42,20 +43,20 @@
 }
 
 impl Peers {
-    /// Returns what work an upstream gets now, if it is known.
+    /// Returns which requests an upstream receives now, or `None` if the link is unknown.
     pub fn availability(&self, link: Link, now: Time) -> Option<Availability> {
         let peer = self.get(link)?;
-        let number = peer.start_id();
-        let rests_until = self.notices.paused_until(number);
-        let limit = self.notices.limit(number);
+        let start_id = peer.start_id();
+        let paused_until = self.notices.paused_until(start_id);
+        let limit = self.notices.limit(start_id);
         Some(if self.is_leaving(peer) {
             Availability::Leaving
         } else if !self.halls.is_open(peer.placement.hall.as_ref()) {
             Availability::Evacuated
-        } else if now < rests_until {
-            Availability::Resting(rests_until.since(now))
+        } else if now < paused_until {
+            Availability::Resting(paused_until.since(now))
         } else if let Some((rate, _)) = limit {
-            Availability::Limited(rate, self.notices.available_at(number).since(now))
+            Availability::Limited(rate, self.notices.available_at(start_id).since(now))
         } else if peer.is_cold(now) {
             Availability::Cold
         } else if now < peer.avoided {
--- a/crates/core/src/pick/backlog.rs
+++ b/crates/core/src/pick/backlog.rs
@@ -1,26 +1,26 @@
-//! The reading at an upstream that other entries told of.
+//! The pending prefill at an upstream that other entries reported.
 
 use crate::unit::{Span, Time};
 
-/// Reading that is worked off as time passes.
+/// Prefill that is completed as time passes.
 ///
-/// An entry tells what it sends and not when that has been read: an upstream reads at the
-/// rate that was learned from it, so what is left follows from the time that has passed.
+/// An entry reports which prompts it sends but not when their prefill ends. Each prefill is a time
+/// at the upstream's learned rate, so the rest follows from the time that has passed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backlog {
-    left: Span,
-    at: Time,
+    remaining: Span,
+    updated: Time,
 }
 
 impl Backlog {
-    /// Adds a reading that begins now or after what is left.
-    pub fn add(&mut self, reading: Span, now: Time) {
-        self.left = self.left(now) + reading;
-        self.at = now;
+    /// Adds a prefill that begins after the remaining one.
+    pub fn add(&mut self, prefill: Span, now: Time) {
+        self.remaining = self.remaining(now) + prefill;
+        self.updated = now;
     }
 
-    /// Returns what is left to be read.
-    pub fn left(&self, now: Time) -> Span {
-        self.left - now.since(self.at)
+    /// Returns the remaining prefill.
+    pub fn remaining(&self, now: Time) -> Span {
+        self.remaining - now.since(self.updated)
     }
 }
--- a/crates/core/src/pick/mod.rs
+++ b/crates/core/src/pick/mod.rs
@@ -1,8 +1,8 @@
-//! Which upstream of a pool gets a request.
+//! Picks the upstream of a pool that receives a request.
 //!
-//! Each upstream in reach is scored by the time to the first token that it is
-//! expected to give: the wait that it reported last, what this entry has sent
-//! since, and the prefill of the prompt tokens that are not in its cache.
+//! Each connected upstream is scored by its expected time to the first token: the wait that it
+//! reported last, the requests that this entry has sent since, and the prefill of the prompt tokens
+//! that are not in its cache.
 //!
 //! ```
 //! use sorreldeck::pick::{Constraints, Peers, Policy, Criteria};
@@ -13,8 +13,8 @@
 //! let mut peers = Peers::default();
 //! let pool = "assistant".parse()?;
 //! peers.join(1, "u1".parse()?, &pool, Load { slots: 4, ..Load::default() });
-//! let wish = Criteria { pool: &pool, tokens: 100, urgent: false, rank: 0, prefixes: &[], shared_prefix: None, last_upstream: None, tried: &[], constraints: Constraints::default(), prefill_rate: None, scope: Scope::Hall };
-//! assert_eq!(peers.pick(&wish, Policy::FirstToken, Time(0), 0.5), Some(1));
+//! let criteria = Criteria { pool: &pool, tokens: 100, urgent: false, rank: 0, prefixes: &[], shared_prefix: None, last_upstream: None, tried: &[], constraints: Constraints::default(), prefill_rate: None, scope: Scope::Hall };
+//! assert_eq!(peers.pick(&criteria, Policy::FirstToken, Time(0), 0.5), Some(1));
 //! # Ok::<(), sorreldeck::Error>(())
 //! ```
 
@@ -42,28 +42,28 @@
 use crate::unit::{Rate, Span, Time};
 use crate::warmup::Entries;
 use crate::wire::Load;
-use peer::{AVOID, AVOID_ERRORS};
+use peer::{AVOID_BASE, AVOID_ERROR_BASE};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use warmup::First;
+use warmup::InitialSet;
 
-/// How long an upstream that takes only so much is left to requests of a rank before those of the
-/// next one may go there, where all take only so much.
-const STANDS_BACK: Span = Span::from_millis(200);
+/// The delay per rank after which requests may use newly available capacity if all upstreams limit
+/// their rate. Requests of lower ranks go first.
+const RANK_DELAY: Span = Span::from_millis(200);
 
-/// The number of a link, unique in one run of a process.
+/// The number of a link, unique within one run of a process.
 pub type Link = u64;
 
-/// How an upstream is chosen; all but the first are baselines for experiments.
+/// The policy for choosing an upstream. All but the first are baselines for experiments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
     /// The least expected time to the first token.
     #[default]
     FirstToken,
-    /// Each in turn.
+    /// Each upstream in turn.
     RoundRobin,
     /// The fewest requests of this entry in flight.
     LeastInFlight,
-    /// The lower reported load of two drawn at random.
+    /// The lower reported wait of two adjacent upstreams, the first drawn at random.
     TwoChoices,
 }
 
@@ -79,14 +79,14 @@
             _ => Err(crate::Error::new(
                 crate::Category::Invalid,
                 format!(
-                    "{s:?} is no policy: first-token, round-robin, least-in-flight, two-choices"
+                    "{s:?} is not a policy: expected first-token, round-robin, least-in-flight or two-choices"
                 ),
             )),
         }
     }
 }
 
-/// A beginning of a prompt, which requests may share.
+/// A prefix of a prompt, which requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefix {
     /// The hash of the text.
@@ -95,7 +95,7 @@
     pub tokens: u32,
 }
 
-/// Where an upstream is and what it runs.
+/// The location of an upstream and the software that it runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Placement {
     /// The data hall.
@@ -104,75 +104,76 @@
     pub region: Option<Region>,
     /// The release of its software.
     pub release: Option<VersionId>,
-    /// Which start of it this is, where it may start again under its name.
+    /// The start of the upstream, if it may restart under the same name.
     pub incarnation: Option<Incarnation>,
 }
 
-/// What a request wants of an upstream's place.
+/// The constraints of a request on the placement of its upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Constraints<'a> {
-    /// The data hall that is cheap to reach.
+    /// The data hall that is cheapest to reach.
     pub hall: Option<&'a Hall>,
     /// The release that must answer.
     pub release: Option<&'a VersionId>,
-    /// Which few of the upstreams that run it may answer, if not all.
+    /// The canary upstreams of that release, if only these may answer.
     pub subset: Option<Canary>,
-    /// The regions in which the request may be served, by its route and by its client account.
+    /// The regions in which the request may be served, as restricted by its route and by its client
+    /// account.
     pub regions: [Option<&'a BTreeSet<Region>>; 2],
 }
 
 impl Constraints<'_> {
-    /// Returns whether a request may be served at a place; one whose region is not known is in
-    /// none that is allowed.
-    fn allows(&self, place: &Placement) -> bool {
+    /// Returns whether the request may be served at a placement. One with an unknown region is not
+    /// in any of the allowed regions.
+    fn allows(&self, placement: &Placement) -> bool {
         let is_in = |regions: &BTreeSet<Region>| {
-            let region = place.region.as_ref();
+            let region = placement.region.as_ref();
             region.is_some_and(|region| regions.contains(region))
         };
         self.regions.iter().flatten().all(|regions| is_in(regions))
     }
 }
 
-/// What a request wants of an upstream.
+/// The requirements of a request on its upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
     /// The pool.
     pub pool: &'a PoolId,
     /// The prompt tokens.
     pub tokens: u32,
-    /// Whether the request may take a place kept for the priority class.
+    /// Whether the request may use a slot that is reserved for the priority class.
     pub urgent: bool,
-    /// What goes before it where upstreams take only so much: 0 goes first.
+    /// The order of requests where upstreams limit their rate; 0 goes first.
     pub rank: u8,
-    /// The beginnings of the prompt that may be cached, the shortest first.
+    /// The prefixes of the prompt that may be cached, the shortest first.
     pub prefixes: &'a [Prefix],
-    /// The longest beginning that other requests share.
+    /// The longest prefix that is shared with other requests.
     pub shared_prefix: Option<Prefix>,
-    /// The upstream that answered the session last.
+    /// The upstream that last answered the session.
     pub last_upstream: Option<&'a UpstreamId>,
-    /// The links already tried.
+    /// The links of earlier attempts.
     pub tried: &'a [Link],
-    /// Where the upstream ought to be.
+    /// The constraints on the placement.
     pub constraints: Constraints<'a>,
-    /// How fast its prompt is read, in tokens, where that is learned from answers; each
-    /// upstream then counts as reading until it answers.
+    /// The learned prefill rate in tokens per second, if known. Each upstream then counts as busy
+    /// with the prefill of a request until it answers.
     pub prefill_rate: Option<Rate>,
-    /// Over which upstreams the shared beginning has one home.
+    /// The upstreams among which the shared prefix has one home.
     pub scope: Scope,
 }
 
-/// An upstream that was chosen, and what a request finds there.
+/// A chosen upstream and its state for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Chosen {
-    /// The link to it.
+    /// The link to the upstream.
     pub link: Link,
-    /// The tokens of the prompt that it has to read.
+    /// The prompt tokens that are not in its cache.
     pub uncached_tokens: u32,
-    /// The reading that this entry and others sent there before and that has not ended.
+    /// The prefill of earlier requests, of this and other entries, that has not ended.
     pub pending_prefill: Span,
 }
 
-/// The upstreams in reach of an entry, by pool.
+/// The upstreams to which an entry has links, by pool.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     peers: HashMap<Link, Peer>,
@@ -181,8 +182,8 @@
     warmups: BTreeMap<PoolId, Warmup>,
     entries: Entries,
     notices: notice::Registry,
-    /// The first upstreams that joined, which were there before.
-    first: First,
+    /// The progress of the initial set of upstreams, which were there before this entry started.
+    initial_set: InitialSet,
     turn: usize,
 }
 
@@ -194,7 +195,7 @@
         self.peers.insert(link, peer);
         let links = self.pools.entry(pool.clone()).or_default();
         links.push(link);
-        // A fixed order makes runs with one seed alike.
+        // A fixed order keeps runs with the same seed reproducible.
         links.sort_unstable();
     }
 
@@ -216,12 +217,12 @@
         self.peers.iter().map(|(link, peer)| (*link, peer))
     }
 
-    /// Returns the pools in reach with the links to each.
+    /// Returns the pools that have links, with the links of each.
     pub fn pools(&self) -> &BTreeMap<PoolId, Vec<Link>> {
         &self.pools
     }
 
-    /// Notes a report of load.
+    /// Records a load report.
     pub fn report(&mut self, link: Link, load: Load, now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.load = load;
@@ -231,15 +232,15 @@
         }
     }
 
-    /// Notes that the upstream takes no new work.
+    /// Marks an upstream as taking no new requests.
     pub fn mark_leaving(&mut self, link: Link) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.leaving = true;
         }
     }
 
-    /// Notes that the upstream takes no new work; it is forgotten when nothing
-    /// of this entry runs there any more.
+    /// Marks an upstream as taking no new requests, and removes it once no requests of this entry
+    /// run there.
     pub fn retire(&mut self, link: Link) {
         match self.peers.get_mut(&link) {
             Some(peer) if peer.in_flight > 0 => {
@@ -250,99 +251,99 @@
         }
     }
 
-    /// Notes a request sent.
-    pub fn sent(&mut self, link: Link, tokens: u32, chain: &[Prefix], now: Time) {
+    /// Records a sent request.
+    pub fn sent(&mut self, link: Link, tokens: u32, prefixes: &[Prefix], now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.sent(tokens, chain, now);
-            if peer.has_spoken {
+            peer.sent(tokens, prefixes, now);
+            if peer.has_notice {
                 self.notices.record_request(peer.start_id(), now);
             }
         }
     }
 
-    /// Notes that an upstream has a prompt to read that takes this long.
-    pub fn prefill_started(&mut self, link: Link, reading: Span) {
+    /// Adds a prefill of this duration to an upstream.
+    pub fn prefill_started(&mut self, link: Link, prefill: Span) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.pending_prefill = peer.pending_prefill + reading;
+            peer.pending_prefill = peer.pending_prefill + prefill;
         }
     }
 
-    /// Notes that an upstream has read a prompt, or does not have to any more.
-    pub fn prefill_ended(&mut self, link: Link, reading: Span) {
+    /// Removes a prefill of this duration, after it has ended or was abandoned.
+    pub fn prefill_ended(&mut self, link: Link, prefill: Span) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.pending_prefill = peer.pending_prefill - reading;
+            peer.pending_prefill = peer.pending_prefill - prefill;
         }
     }
 
-    /// Notes that another entry sent an upstream a prompt that takes this long to be read.
-    pub fn add_remote_prefill(&mut self, number: u64, reading: Span, now: Time) {
-        if let Some(peer) = self.numbered(number).next() {
-            peer.add_remote_prefill(reading, now);
+    /// Adds a prefill of this duration that another entry sent to an upstream.
+    pub fn add_remote_prefill(&mut self, start_id: u64, prefill: Span, now: Time) {
+        if let Some(peer) = self.by_start_id(start_id).next() {
+            peer.add_remote_prefill(prefill, now);
         }
     }
 
-    /// Returns the upstreams for which a number stands: one that left and has requests here still
-    /// may have joined again.
-    fn numbered(&mut self, number: u64) -> impl Iterator<Item = &mut Peer> {
+    /// Returns the upstreams with a start identifier. An upstream that left but still runs requests
+    /// of this entry may have joined again.
+    fn by_start_id(&mut self, start_id: u64) -> impl Iterator<Item = &mut Peer> {
         let peers = self.peers.values_mut();
-        peers.filter(move |peer| peer.start_id() == number)
+        peers.filter(move |peer| peer.start_id() == start_id)
     }
 
-    /// Sets where an upstream is and what it runs.
-    pub fn set_placement(&mut self, link: Link, place: Placement) {
+    /// Sets the placement of an upstream.
+    pub fn set_placement(&mut self, link: Link, placement: Placement) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.set_placement(place);
-            peer.has_spoken = self.notices.contains(peer.start_id());
+            peer.set_placement(placement);
+            peer.has_notice = self.notices.contains(peer.start_id());
         }
     }
 
-    /// Notes that something came from an upstream.
+    /// Records that something was received from an upstream.
     pub fn heard_from(&mut self, link: Link, now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.last_heard = now;
         }
     }
 
-    /// Notes that something came from every upstream, as far as can be known
-    /// after this process itself stood still.
+    /// Counts every upstream as heard from, after this process itself was suspended and may have
+    /// missed messages.
     pub fn heard_from_all(&mut self, now: Time) {
         for peer in self.peers.values_mut() {
             peer.last_heard = now;
         }
     }
 
-    /// Notes a good answer.
+    /// Records a successful answer.
     pub fn succeeded(&mut self, link: Link) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.succeeded();
         }
     }
 
-    /// Notes a failure: the upstream is passed over for a while.
+    /// Records a failure; the upstream is avoided for a while.
     pub fn failed(&mut self, link: Link, now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.avoid(AVOID, now);
+            peer.avoid(AVOID_BASE, now);
         }
     }
 
-    /// Notes that an upstream answered with an error of its own. It may be the
-    /// request's, so what comes next goes elsewhere and nothing is sent again; an
-    /// upstream that fails everything is left for longer each time.
+    /// Records that an upstream answered with an error of its own. The request may have caused it,
+    /// so nothing is sent again here; only later requests avoid the upstream, for longer with each
+    /// error in a row.
     pub fn returned_error(&mut self, link: Link, now: Time) {
         if let Some(peer) = self.peers.get_mut(&link) {
-            peer.avoid(AVOID_ERRORS, now);
+            peer.avoid(AVOID_ERROR_BASE, now);
         }
     }
 
-    /// Returns whether the last answers of an upstream were failures.
+    /// Returns whether the latest answers of an upstream were failures.
     pub fn is_failing(&self, link: Link) -> bool {
         self.get(link).is_some_and(Peer::is_failing)
     }
 
-    /// Returns whether an upstream may get work.
+    /// Returns whether an upstream may receive requests.
     ///
-    /// Whoever looks for an upstream asks here, so that none which leaves, or whose data hall is
-    /// emptied, is found by another way.
+    /// Every search for an upstream must check this, so that no path reaches one that is leaving or
+    /// in an evacuated data hall.
     pub fn gets_work(&self, link: Link) -> bool {
         self.get(link).is_some_and(|peer| self.takes_work(peer))
     }
@@ -351,38 +352,38 @@
         !self.is_leaving(peer) && self.halls.is_open(peer.placement.hall.as_ref())
     }
 
-    /// Returns the upstreams of a pool in reach.
+    /// Returns the connected upstreams of a pool.
     fn of_pool(&self, pool: &PoolId) -> impl Iterator<Item = (Link, &Peer)> {
         let links = self.pools.get(pool).map_or(&[][..], Vec::as_slice);
         links.iter().map(|link| (*link, &self.peers[link]))
     }
 
-    /// Returns the upstreams of a pool that may get work.
-    fn working(&self, pool: &PoolId) -> impl Iterator<Item = (Link, &Peer)> {
+    /// Returns the upstreams of a pool that may receive requests.
+    fn available(&self, pool: &PoolId) -> impl Iterator<Item = (Link, &Peer)> {
         let all = self.of_pool(pool);
         all.filter(|(_, peer)| self.takes_work(peer))
     }
 
-    /// Returns the releases that the upstreams of a pool run, each with the
-    /// number of them that may get work.
+    /// Returns the releases that the upstreams of a pool run, each with the number of upstreams
+    /// that may receive requests.
     pub fn releases(&self, pool: &PoolId) -> BTreeMap<&VersionId, usize> {
         let mut releases = BTreeMap::new();
-        let working = self.working(pool).map(|(_, peer)| peer);
-        for release in working.filter_map(|p| p.placement.release.as_ref()) {
+        let available = self.available(pool).map(|(_, peer)| peer);
+        for release in available.filter_map(|p| p.placement.release.as_ref()) {
             *releases.entry(release).or_default() += 1;
         }
         releases
     }
 
-    /// Returns the releases that the upstreams of a pool run, whether or not their data hall
-    /// gets work, without those that are leaving.
+    /// Returns the releases that the upstreams of a pool run, including those in evacuated data
+    /// halls but not those that are leaving.
     pub fn present_releases(&self, pool: &PoolId) -> BTreeSet<VersionId> {
         let staying = self.of_pool(pool).filter(|(_, p)| !self.is_leaving(p));
         let releases = staying.filter_map(|(_, p)| p.placement.release.clone());
         releases.collect()
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub fn ended(&mut self, link: Link) {
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.in_flight = peer.in_flight.saturating_sub(1);
@@ -392,125 +393,135 @@
         }
     }
 
-    /// Returns the link to the upstream that gets the request, if one may.
+    /// Returns the link to the upstream for a request, if there is one.
     ///
     /// `draw` is a random number in `[0, 1)`.
-    pub fn pick(&mut self, wish: &Criteria, policy: Policy, now: Time, draw: f64) -> Option<Link> {
-        let chosen = self.choose(wish, policy, now, draw);
+    pub fn pick(
+        &mut self,
+        criteria: &Criteria,
+        policy: Policy,
+        now: Time,
+        draw: f64,
+    ) -> Option<Link> {
+        let chosen = self.choose(criteria, policy, now, draw);
         chosen.map(|chosen| chosen.link)
     }
 
-    /// Returns the upstream that gets the request, if one may, and what it finds there.
+    /// Returns the upstream for a request, if there is one, and its state for the request.
     ///
     /// `draw` is a random number in `[0, 1)`.
     pub fn choose(
         &mut self,
-        wish: &Criteria,
+        criteria: &Criteria,
         policy: Policy,
         now: Time,
         draw: f64,
     ) -> Option<Chosen> {
-        let may = |link: &Link, peer: &Peer| {
-            !wish.tried.contains(link) && peer.suits(wish) && self.admits(peer, now)
+        let is_eligible = |link: &Link, peer: &Peer| {
+            !criteria.tried.contains(link) && peer.matches(criteria) && self.admits(peer, now)
         };
         let usable = self
-            .working(wish.pool)
-            .filter(|(link, peer)| may(link, peer));
+            .available(criteria.pool)
+            .filter(|(link, peer)| is_eligible(link, peer));
         let mut usable: Vec<Link> = usable.map(|(link, _)| link).collect();
-        if let Some(few) = wish.constraints.subset {
-            self.keep_few(&mut usable, few);
+        if let Some(canary) = criteria.constraints.subset {
+            self.keep_canary(&mut usable, canary);
         }
-        let sound = |l: &Link| self.peers[l].avoided <= now;
-        if usable.iter().any(sound) {
-            usable.retain(sound);
+        let is_healthy = |l: &Link| self.peers[l].avoided <= now;
+        if usable.iter().any(is_healthy) {
+            usable.retain(is_healthy);
         }
         if usable.iter().all(|l| self.is_limited(&self.peers[l])) {
-            // What is more urgent has some time to take what they take.
-            let stands_back = STANDS_BACK.micros() * u64::from(wish.rank);
-            let opened = Time(now.0.saturating_sub(stands_back));
-            usable.retain(|l| self.opens(&self.peers[l]) <= opened);
+            // Requests of a lower rank get the first chance to use newly available capacity.
+            let rank_delay = RANK_DELAY.micros() * u64::from(criteria.rank);
+            let opened = Time(now.0.saturating_sub(rank_delay));
+            usable.retain(|l| self.available_at(&self.peers[l]) <= opened);
         }
-        let wants_trial = |l: &Link| self.wants_trial(&self.peers[l], now);
-        if let Some(link) = usable.iter().copied().find(wants_trial) {
+        let wants_probe = |l: &Link| self.wants_probe(&self.peers[l], now);
+        if let Some(link) = usable.iter().copied().find(wants_probe) {
             usable = vec![link];
         }
         if usable.is_empty() {
             return None;
         }
-        let home = self.home(&usable, wish);
+        let home = self.home(&usable, criteria);
         let start = (draw * usable.len() as f64) as usize % usable.len();
         let link = match policy {
             Policy::RoundRobin => {
                 self.turn = self.turn.wrapping_add(1);
                 usable[self.turn % usable.len()]
             }
-            Policy::LeastInFlight => self.least(&usable, start, |_, p| u64::from(p.in_flight))?,
+            Policy::LeastInFlight => {
+                self.min_by_score(&usable, start, |_, p| u64::from(p.in_flight))?
+            }
             Policy::TwoChoices => {
                 let second = usable[(start + 1) % usable.len()];
-                self.least(&[usable[start], second], 0, |_, p| p.load.wait.micros())?
+                self.min_by_score(&[usable[start], second], 0, |_, p| p.load.wait.micros())?
             }
-            Policy::FirstToken => self.least(&usable, start, |link, peer| {
-                peer.first_token(wish, home == Some(link), now)
+            Policy::FirstToken => self.min_by_score(&usable, start, |link, peer| {
+                peer.first_token(criteria, home == Some(link), now)
             })?,
         };
         let peer = self.peers.get(&link)?;
         Some(Chosen {
             link,
-            uncached_tokens: peer.uncached_tokens(wish, home == Some(link), now),
+            uncached_tokens: peer.uncached_tokens(criteria, home == Some(link), now),
             pending_prefill: peer.pending_prefill(now),
         })
     }
 
-    /// Returns the upstream that gets a request which had better not go where others are,
-    /// besides those `tried`; it goes there where nothing else is left.
+    /// Like [`Peers::choose`], where `criteria.tried` may also contain upstreams to avoid, such as
+    /// those that run requests suspected of crashes. If no healthy upstream is left, only those in
+    /// `tried` are excluded.
     pub fn choose_distinct(
         &mut self,
-        wish: &Criteria,
+        criteria: &Criteria,
         tried: &[Link],
         policy: Policy,
         now: Time,
         draw: f64,
     ) -> Option<Chosen> {
-        let chosen = self.choose(wish, policy, now, draw);
-        let is_sound = |c: &Chosen| self.peers[&c.link].avoided <= now;
-        if chosen.as_ref().is_some_and(is_sound) || wish.tried.len() == tried.len() {
+        let chosen = self.choose(criteria, policy, now, draw);
+        let is_healthy = |c: &Chosen| self.peers[&c.link].avoided <= now;
+        if chosen.as_ref().is_some_and(is_healthy) || criteria.tried.len() == tried.len() {
             return chosen;
         }
-        let wish = Criteria { tried, ..*wish };
-        self.choose(&wish, policy, now, draw)
+        let criteria = Criteria { tried, ..*criteria };
+        self.choose(&criteria, policy, now, draw)
     }
 
-    /// Keeps the links that rank highest for a turn.
-    fn keep_few(&self, links: &mut Vec<Link>, few: Canary) {
-        let subject = few.round.to_string();
+    /// Keeps the links that rank highest in a canary round.
+    fn keep_canary(&self, links: &mut Vec<Link>, canary: Canary) {
+        let subject = canary.round.to_string();
         links.sort_by_cached_key(|l| subset::score(&subject, &self.peers[l].upstream));
         links.reverse();
-        links.truncate(few.count);
+        links.truncate(canary.count);
     }
 
-    /// Returns in how many data halls the upstreams of a pool are.
+    /// Returns the number of data halls with available upstreams of a pool.
     pub fn hall_count(&self, pool: &PoolId) -> usize {
         let halls = self
-            .working(pool)
+            .available(pool)
             .filter_map(|(_, p)| p.placement.hall.as_ref());
         halls.collect::<BTreeSet<&Hall>>().len()
     }
 
-    /// Returns the upstream that keeps a shared beginning for all entries, or those of a
-    /// data hall: they agree on it without talking, so it is read once and stays in
-    /// the cache there. Where the own data hall has none left, all have one.
-    fn home(&self, links: &[Link], wish: &Criteria) -> Option<Link> {
-        let shared = wish.shared_prefix?;
-        let is_near = |l: &&Link| self.peers[*l].crossing(wish) == 0;
-        let anywhere = wish.scope == Scope::All || !links.iter().any(|l| is_near(&l));
+    /// Returns the home of the shared prefix. All entries, or those of one data hall, compute the
+    /// same home without communication, so that the prefix is read once and stays in the cache
+    /// there. If the own data hall has no usable upstream, the home is chosen among all.
+    fn home(&self, links: &[Link], criteria: &Criteria) -> Option<Link> {
+        let shared = criteria.shared_prefix?;
+        let is_near = |l: &&Link| self.peers[*l].cross_hall_cost(criteria) == 0;
+        let anywhere = criteria.scope == Scope::All || !links.iter().any(|l| is_near(&l));
         let ranked = links.iter().filter(|l| anywhere || is_near(l));
         ranked
-            .max_by_key(|l| self.peers[l].rank(shared.hash))
+            .max_by_key(|l| self.peers[l].home_rank(shared.hash))
             .copied()
     }
 
-    /// Returns the link with the least score; ties go to the first after `start`.
-    fn least(
+    /// Returns the link with the lowest score. The search starts at `start`, so the first one from
+    /// there wins ties.
+    fn min_by_score(
         &self,
         links: &[Link],
         start: usize,
@@ -524,13 +535,13 @@
             .copied()
     }
 
-    /// Returns how many upstreams of a pool may get work.
+    /// Returns the number of upstreams of a pool that may receive requests.
     pub fn available_count(&self, pool: &PoolId) -> usize {
-        self.working(pool).count()
+        self.available(pool).count()
     }
 
-    /// Returns the least wait that the upstreams of a pool report.
+    /// Returns the shortest wait reported by the available upstreams of a pool.
     pub fn min_wait(&self, pool: &PoolId) -> Option<Span> {
-        self.working(pool).map(|(_, p)| p.load.wait).min()
+        self.available(pool).map(|(_, p)| p.load.wait).min()
     }
 }
--- a/crates/core/src/pick/notices.rs
+++ b/crates/core/src/pick/notices.rs
@@ -1,91 +1,91 @@
-//! What upstreams have said of themselves, as far as it decides who gets work.
+//! Notices that upstreams send about themselves, as far as they affect which upstream is picked.
 
-use super::peer::AVOID_MOST;
+use super::peer::AVOID_MAX;
 use super::{Link, Peer, Peers};
 use crate::id::PoolId;
 use crate::notice::{Change, Notice, Update};
 use crate::unit::{Rate, Span, Time};
 
 impl Peers {
-    /// Takes in what an upstream says of itself in the answer to a request sent then.
+    /// Applies a notice in the answer to a request that was sent at `asked`.
     pub fn apply_notice(&mut self, link: Link, notice: Notice, asked: Time, now: Time) {
         let Some(peer) = self.peers.get_mut(&link) else {
             return;
         };
         if let Some(pace) = notice.pace {
-            peer.paces(pace, now);
+            peer.set_pace(pace, now);
         }
-        // That changes too often to be told to others.
+        // The pace changes too often to be shared with other entries.
         let notice = Notice {
             pace: None,
             ..notice
         };
-        if notice.is_empty() && !peer.has_spoken {
+        if notice.is_empty() && !peer.has_notice {
             return;
         }
-        let number = peer.start_id();
-        let before = self.notices.limit(number);
+        let start_id = peer.start_id();
+        let before = self.notices.limit(start_id);
         let entries = &self.entries;
-        for change in self.notices.observe(number, notice, asked, entries, now) {
-            self.note_change(number, change, before, "answer", now);
+        for change in self.notices.observe(start_id, notice, asked, entries, now) {
+            self.apply_change(start_id, change, before, "answer", now);
         }
     }
 
-    /// Takes in what another entry tells of an upstream.
-    pub fn apply_remote_notice(&mut self, word: Update, now: Time) {
-        let number = word.upstream;
-        if let Change::Paused(rest) = word.change {
-            return self.spare(number, rest, now);
+    /// Applies a notice about an upstream that another entry shared.
+    pub fn apply_remote_notice(&mut self, update: Update, now: Time) {
+        let start_id = update.upstream;
+        if let Change::Paused(pause) = update.change {
+            return self.avoid_paused(start_id, pause, now);
         }
-        let before = self.notices.limit(number);
-        if let Some(change) = self.notices.merge(word, &self.entries, now) {
-            self.note_change(number, change, before, "entry", now);
+        let before = self.notices.limit(start_id);
+        if let Some(change) = self.notices.merge(update, &self.entries, now) {
+            self.apply_change(start_id, change, before, "entry", now);
         }
     }
 
-    /// Passes an upstream over that turns the requests of another entry away, as long as others
-    /// are there: this entry would be turned away too, and try one such upstream after another.
-    fn spare(&mut self, number: u64, rest: Span, now: Time) {
-        for peer in self.numbered(number) {
-            peer.avoided = peer.avoided.max(now + rest.min(AVOID_MOST));
+    /// Avoids an upstream that refuses requests of another entry, as long as there are others. It
+    /// would also refuse requests of this entry, which would try one such upstream after another.
+    fn avoid_paused(&mut self, start_id: u64, pause: Span, now: Time) {
+        for peer in self.by_start_id(start_id) {
+            peer.avoided = peer.avoided.max(now + pause.min(AVOID_MAX));
         }
     }
 
-    fn note_change(
+    fn apply_change(
         &mut self,
-        number: u64,
+        start_id: u64,
         change: Change,
         before: Option<(Rate, Time)>,
         from: &str,
         now: Time,
     ) {
-        for peer in self.numbered(number) {
-            peer.has_spoken = true;
+        for peer in self.by_start_id(start_id) {
+            peer.has_notice = true;
         }
-        self.log_change(number, change, before, from, now);
+        self.log_change(start_id, change, before, from, now);
     }
 
     fn log_change(
         &self,
-        number: u64,
+        start_id: u64,
         change: Change,
         before: Option<(Rate, Time)>,
         from: &str,
         now: Time,
     ) {
         let mut peers = self.peers.values();
-        let Some(peer) = peers.find(|peer| peer.start_id() == number) else {
+        let Some(peer) = peers.find(|peer| peer.start_id() == start_id) else {
             return;
         };
         let upstream = &peer.upstream;
-        let age = before.map_or(-1, |(_, heard)| now.since(heard).millis() as i64);
+        let age = before.map_or(-1, |(_, received)| now.since(received).millis() as i64);
         let before = before.map_or_else(|| "none".to_owned(), |(rate, _)| rate.to_string());
         match change {
             Change::Leaving => {
                 log::info!("event=notice upstream={upstream} leaving=true from={from}");
             }
-            Change::Paused(rest) => {
-                let for_ms = rest.millis();
+            Change::Paused(pause) => {
+                let for_ms = pause.millis();
                 log::info!("event=notice upstream={upstream} rest_ms={for_ms} from={from}");
             }
             Change::Limited(rate) => log::info!(
@@ -97,74 +97,78 @@
         }
     }
 
-    /// Returns whether an upstream takes no new requests any more, by whatever way that is known.
+    /// Returns whether an upstream takes no new requests because it is leaving, from either a
+    /// message or a notice.
     pub(super) fn is_leaving(&self, peer: &Peer) -> bool {
-        peer.leaving || (peer.has_spoken && self.notices.leaving_since(peer.start_id()).is_some())
+        peer.leaving || (peer.has_notice && self.notices.leaving_since(peer.start_id()).is_some())
     }
 
-    /// Returns from when on an upstream takes requests of this entry, as far as it has said.
-    pub(super) fn opens(&self, peer: &Peer) -> Time {
-        match peer.has_spoken {
+    /// Returns the time from which an upstream takes requests of this entry, according to its
+    /// notices.
+    pub(super) fn available_at(&self, peer: &Peer) -> Time {
+        match peer.has_notice {
             true => self.notices.available_at(peer.start_id()),
             false => Time::default(),
         }
     }
 
     pub(super) fn is_limited(&self, peer: &Peer) -> bool {
-        peer.has_spoken && self.notices.is_limited(peer.start_id())
+        peer.has_notice && self.notices.is_limited(peer.start_id())
     }
 
-    /// Returns whether the next request is to go to an upstream to hear what it says now.
-    pub(super) fn wants_trial(&self, peer: &Peer, now: Time) -> bool {
-        peer.has_spoken && self.notices.wants_probe(peer.start_id(), now)
+    /// Returns whether the next request should go to an upstream to get a current notice from it.
+    pub(super) fn wants_probe(&self, peer: &Peer, now: Time) -> bool {
+        peer.has_notice && self.notices.wants_probe(peer.start_id(), now)
     }
 
-    /// Returns whether an upstream has asked this entry for rest that has not ended.
+    /// Returns whether an upstream asked this entry for a pause that has not ended.
     pub fn is_resting(&self, link: Link, now: Time) -> bool {
-        let number = self.get(link).map(Peer::start_id);
-        number.is_some_and(|number| now < self.notices.paused_until(number))
+        let start_id = self.get(link).map(Peer::start_id);
+        start_id.is_some_and(|start_id| now < self.notices.paused_until(start_id))
     }
 
-    /// Returns how many upstreams want no requests of this entry for a while.
+    /// Returns the number of upstreams that asked this entry for a pause.
     pub fn resting(&self, now: Time) -> usize {
         let resting = |peer: &&Peer| now < self.notices.paused_until(peer.start_id());
         self.peers.values().filter(resting).count()
     }
 
-    /// Returns how many upstreams have said that they leave.
+    /// Returns the number of upstreams that announced that they are leaving.
     pub fn leaving(&self) -> usize {
         let leaving = |peer: &&Peer| self.notices.leaving_since(peer.start_id()).is_some();
         self.peers.values().filter(leaving).count()
     }
 
-    /// Forgets what the upstream at a link has said, since it may be another start of it.
+    /// Removes the notices of the upstream on a link, which may have restarted.
     pub fn forget_notices(&mut self, link: Link) {
         if let Some(peer) = self.peers.get_mut(&link) {
             self.notices.remove(peer.start_id());
-            peer.has_spoken = false;
+            peer.has_notice = false;
         }
     }
 
-    /// Returns what other entries are to be told of upstreams.
+    /// Takes the updates that are to be shared with other entries.
     pub fn take_updates(&mut self) -> Vec<Update> {
         self.notices.take_updates()
     }
 
-    /// Returns how many upstreams take only so many requests a second from all entries.
+    /// Returns the number of upstreams that limit the requests per second of all entries.
     pub fn limited(&self) -> usize {
         self.peers.values().filter(|p| self.is_limited(p)).count()
     }
 
     /// Returns whether this entry may send an upstream a request now.
     pub(super) fn admits(&self, peer: &Peer, now: Time) -> bool {
-        self.is_warm_enough(peer, now) && self.opens(peer) <= now
+        self.is_warm_enough(peer, now) && self.available_at(peer) <= now
     }
 
-    /// Returns how long it takes until an upstream of a pool may get a request that gets none now,
-    /// as far as upstreams have said; `None` where none has said anything.
+    /// Returns the time until an upstream of a pool may receive a request again, according to the
+    /// notices; `None` if no notice delays requests.
     pub fn available_in(&self, pool: &PoolId, now: Time) -> Option<Span> {
-        let opens = self.working(pool).map(|(_, peer)| self.opens(peer));
-        let next = opens.filter(|at| *at > now).min()?;
+        let available = self
+            .available(pool)
+            .map(|(_, peer)| self.available_at(peer));
+        let next = available.filter(|at| *at > now).min()?;
         Some(next.since(now))
     }
 }
--- a/crates/core/src/pick/pace.rs
+++ b/crates/core/src/pick/pace.rs
@@ -1,7 +1,7 @@
-//! How long work takes at an upstream at the moment, against what is usual there.
+//! The current duration of work at an upstream, relative to its usual duration.
 //!
-//! Upstreams that share machines with others say it with their answers. It changes many times a
-//! second, so what was said counts less the older it is.
+//! Upstreams that share machines with others send their pace with their answers. It changes many
+//! times per second, so a report loses weight with its age.
 //!
 //! ```
 //! use sorreldeck::pick::Pace;
@@ -13,19 +13,22 @@
 use crate::unit::{Span, Time};
 use std::fmt;
 
-/// The largest that is understood: an upstream that is slower than that stands still.
-const MOST: u32 = 10_000;
-/// How long what was said counts in part; it fades evenly.
-const LIFE: Span = Span::from_millis(500);
+/// The largest accepted pace, in percent. A slower upstream counts as stalled.
+const MAX_PERCENT: u32 = 10_000;
+/// The time over which the weight of a report falls linearly to zero.
+const REPORT_LIFETIME: Span = Span::from_millis(500);
 
-/// How long work takes, in hundredths of what is usual.
+/// The current duration of work, in percent of the usual duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pace(u32);
 
 impl Pace {
-    /// Returns the pace of so many hundredths; nothing takes no time, or longer than is understood.
+    /// Creates a pace from a percentage, or returns `None` if it is zero or above the accepted
+    /// maximum.
     pub fn from_percent(percent: u32) -> Option<Pace> {
-        (1..=MOST).contains(&percent).then_some(Pace(percent))
+        (1..=MAX_PERCENT)
+            .contains(&percent)
+            .then_some(Pace(percent))
     }
 }
 
@@ -35,23 +38,23 @@
     }
 }
 
-/// What was said, and when.
+/// A reported pace and its time.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Told(Option<(Pace, Time)>);
+pub(super) struct PaceReport(Option<(Pace, Time)>);
 
-impl Told {
-    /// Returns what was said at a time.
-    pub fn new(pace: Pace, at: Time) -> Told {
-        Told(Some((pace, at)))
+impl PaceReport {
+    /// Creates a report.
+    pub fn new(pace: Pace, at: Time) -> PaceReport {
+        PaceReport(Some((pace, at)))
     }
 
-    /// Returns how long work takes that usually takes so many microseconds.
-    pub fn stretch(self, work: u64, now: Time) -> u64 {
+    /// Returns the expected duration of work that usually takes `work` microseconds.
+    pub fn scale(self, work: u64, now: Time) -> u64 {
         let Some((pace, at)) = self.0 else {
             return work;
         };
-        let age = now.since(at).secs_f64() / LIFE.secs_f64();
-        let beyond = f64::from(pace.0) / 100.0 - 1.0;
-        (work as f64 * (1.0 + beyond * (1.0 - age).max(0.0))) as u64
+        let age = now.since(at).secs_f64() / REPORT_LIFETIME.secs_f64();
+        let excess = f64::from(pace.0) / 100.0 - 1.0;
+        (work as f64 * (1.0 + excess * (1.0 - age).max(0.0))) as u64
     }
 }
--- a/crates/core/src/pick/peer.rs
+++ b/crates/core/src/pick/peer.rs
@@ -1,7 +1,7 @@
-//! One upstream as an entry sees it, and how it is scored.
+//! The state of one upstream as known to an entry, and its score.
 
 use super::backlog::Backlog;
-use super::pace::{Pace, Told};
+use super::pace::{Pace, PaceReport};
 use super::{Criteria, Placement, Prefix};
 use crate::digest::mix;
 use crate::entry::Snapshot;
@@ -13,104 +13,106 @@
 use crate::wire::Load;
 use std::collections::HashMap;
 
-/// The prefixes that this entry remembers for each upstream: some 500 prompts
-/// of a few thousand tokens fill the memory of an engine.
-const PREFIXES: usize = 512;
-/// How long a beginning that was not asked for again is taken to be cached: under
-/// the usual load an engine reads as much as its memory holds in some 15 s.
+/// The prefixes tracked per upstream. About 500 prompts of a few thousand tokens fill the memory of
+/// an engine.
+const MAX_PREFIXES: usize = 512;
+/// The time for which a prefix counts as cached after its last request. Under normal load an engine
+/// reads as many tokens as its memory holds in about 15 s.
 pub(crate) const PREFIX_LIFETIME: Span = Span::from_millis(10_000);
-/// What crossing to another data hall is taken to cost: so much longer may the
-/// wait in the own hall be. Bytes between halls are dear.
+/// The score penalty of an upstream in another data hall: the wait in the own hall may be this much
+/// longer. Traffic between halls is expensive.
 pub(crate) const CROSS_HALL_PENALTY: Span = Span::from_millis(60);
-/// What reading a shared prompt token again costs beyond the time it takes, in
-/// microseconds of wait: it holds up what else runs there.
-const REREAD_US: u64 = 30;
-/// How long an upstream is passed over after its first failure in a row; each
-/// further one doubles it.
-pub(super) const AVOID: Span = Span::from_millis(250);
-/// The same after an error that an upstream of a plain service answers with: many entries share
-/// few of them, so each asks one about that often.
-pub(super) const AVOID_ERRORS: Span = Span::from_millis(1_000);
-/// The most doublings.
-const AVOID_DOUBLINGS: u32 = 4;
-/// The longest: a little longer than a lapsed heartbeat takes.
-pub(super) const AVOID_MOST: Span = Span::from_millis(4_000);
-/// The prompt tokens a second assumed until an upstream reports its own.
-const PREFILL: u32 = 8000;
-/// How long a report of load counts in full; it fades over the same time again.
-const REPORT_LIFE: Span = Span::from_millis(500);
-/// What one request in flight is taken to add to the wait where nothing is
-/// known of the upstream.
-const UNKNOWN_SERVICE: Span = Span::from_millis(50);
+/// The penalty per token of a shared prompt that is read again, in microseconds of wait in addition
+/// to the time that it takes. The repeated prefill delays other requests on the upstream.
+const REREAD_PENALTY_US: u64 = 30;
+/// The time for which an upstream is avoided after its first failure in a row. Each further failure
+/// doubles it.
+pub(super) const AVOID_BASE: Span = Span::from_millis(250);
+/// The same after an error response from an upstream of a plain service. Such upstreams are few and
+/// shared by many entries, each of which tries a failing one again at this interval.
+pub(super) const AVOID_ERROR_BASE: Span = Span::from_millis(1_000);
+/// The maximum number of doublings.
+const AVOID_MAX_DOUBLINGS: u32 = 4;
+/// The longest time for which an upstream is avoided, slightly longer than the detection of a
+/// missing heartbeat.
+pub(super) const AVOID_MAX: Span = Span::from_millis(4_000);
+/// The prefill rate in tokens per second until an upstream reports its own.
+const DEFAULT_PREFILL_RATE: u32 = 8000;
+/// The time for which a load report has full weight. The weight then falls to zero over the same
+/// time.
+const REPORT_LIFETIME: Span = Span::from_millis(500);
+/// The expected wait per request in flight at an upstream of which nothing is known.
+const DEFAULT_SERVICE_TIME: Span = Span::from_millis(50);
 
-/// The part of what is still to be read at an upstream that a new prompt waits for:
-/// prompts are read in pieces by turns, and a part of each is read already.
-const WAITS_FOR: f64 = 0.5;
+/// The share of the pending prefill of an upstream that delays a new prompt. Engines interleave
+/// prompts in chunks, and part of each pending prompt is already processed.
+const PENDING_SHARE: f64 = 0.5;
 
-/// Returns how long a prompt waits at an upstream that has this much to read.
-pub fn prefill_wait(unread: Span) -> Span {
-    Span::from_secs_f64(unread.secs_f64() * WAITS_FOR)
+/// Returns the wait of a prompt at an upstream with this pending prefill.
+pub fn prefill_wait(pending: Span) -> Span {
+    Span::from_secs_f64(pending.secs_f64() * PENDING_SHARE)
 }
 
-/// A beginning that was sent to an upstream.
+/// A prefix that was sent to an upstream.
 #[derive(Clone, Copy, Debug)]
-struct Remembered {
+struct SentPrefix {
     stamp: u64,
     used: Time,
 }
 
-/// An upstream in reach.
+/// An upstream to which the entry has a link.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// What it reported last.
+    /// Its latest load report.
     pub load: Load,
-    /// When it reported.
+    /// The time of the latest load report.
     pub reported: Time,
-    /// The requests of this entry that are there.
+    /// The requests of this entry in flight there.
     pub in_flight: u32,
     /// The requests sent since the last report.
     pub since_report: u32,
     /// The prompt tokens sent since the last report.
     pub tokens_since: u32,
-    /// The reading sent by this entry that has not ended, where runs tell when it has.
+    /// The prefill of this entry's requests that has not ended, as far as runs report its end.
     pub pending_prefill: Span,
-    /// The reading that other entries told of.
-    others: Backlog,
-    /// Whether it said goodbye.
+    /// The pending prefill that other entries reported.
+    remote_prefill: Backlog,
+    /// Whether it announced that it is leaving.
     pub leaving: bool,
-    /// Where it is and what it runs.
+    /// Its location and software.
     pub placement: Placement,
-    /// When anything came from it last.
+    /// When something was received from it last.
     pub last_heard: Time,
-    /// Until when it is passed over, since it failed.
+    /// The time until which it is avoided after a failure.
     pub avoided: Time,
-    /// Whether it is forgotten when nothing of this entry runs there any more.
+    /// Whether it is removed once no requests of this entry run there.
     pub(super) retired: bool,
-    /// What it bears while it is cold, if that is limited.
+    /// The request limit while it is cold, if there is one.
     pub(super) warmup: Option<Warmup>,
-    /// Whether it is cold.
+    /// Whether it may be cold, and when a request was last sent to it.
     pub(super) ramp: Ramp,
-    /// How long work took there when it said so last.
-    pace: Told,
-    /// Whether it has said anything of itself: most have not, and whoever chooses asks of all.
-    pub(super) has_spoken: bool,
-    strikes: u32,
-    /// A number that stands for the upstream's name.
-    seed: u64,
-    /// A number that stands for this start of it.
-    number: u64,
-    prefixes: HashMap<u64, Remembered>,
+    /// The latest pace that it reported.
+    pace: PaceReport,
+    /// Whether it has sent a notice. Most upstreams have not; the flag saves the lookup on each
+    /// pick.
+    pub(super) has_notice: bool,
+    failures: u32,
+    /// The hash of the upstream's name.
+    name_hash: u64,
+    /// The identifier of this start of the upstream.
+    start_id: u64,
+    prefixes: HashMap<u64, SentPrefix>,
     stamp: u64,
 }
 
 impl Peer {
     pub(super) fn new(upstream: UpstreamId, load: Load) -> Peer {
-        let seed = subset::score("home", &upstream);
+        let name_hash = subset::score("home", &upstream);
         Peer {
-            seed,
-            number: seed,
+            name_hash,
+            start_id: name_hash,
             upstream,
             load,
             reported: Time::default(),
@@ -118,47 +120,47 @@
             since_report: 0,
             tokens_since: 0,
             pending_prefill: Span::default(),
-            others: Backlog::default(),
+            remote_prefill: Backlog::default(),
             leaving: false,
             placement: Placement::default(),
             last_heard: Time::default(),
             avoided: Time::default(),
-            strikes: 0,
+            failures: 0,
             retired: false,
             warmup: None,
             ramp: Ramp::default(),
-            pace: Told::default(),
-            has_spoken: false,
+            pace: PaceReport::default(),
+            has_notice: false,
             prefixes: HashMap::new(),
             stamp: 0,
         }
     }
 
-    /// Notes a request sent.
-    pub(super) fn sent(&mut self, tokens: u32, chain: &[Prefix], now: Time) {
+    /// Records a sent request.
+    pub(super) fn sent(&mut self, tokens: u32, prefixes: &[Prefix], now: Time) {
         self.ramp.sent(now);
         self.in_flight += 1;
         self.since_report += 1;
         self.tokens_since += tokens;
-        for prefix in chain {
+        for prefix in prefixes {
             self.remember(*prefix, now);
         }
     }
 
-    /// Notes a good answer.
+    /// Records a successful answer.
     pub(super) fn succeeded(&mut self) {
-        self.strikes = 0;
+        self.failures = 0;
         self.avoided = Time::default();
     }
 
-    /// Passes the upstream over for a while, longer with each failure in a row.
+    /// Avoids the upstream for a while, longer with each failure in a row.
     pub(super) fn avoid(&mut self, first: Span, now: Time) {
-        let span = first.micros() << self.strikes.min(AVOID_DOUBLINGS);
-        self.avoided = now + Span::from_micros(span.min(AVOID_MOST.micros()));
-        self.strikes += 1;
+        let span = first.micros() << self.failures.min(AVOID_MAX_DOUBLINGS);
+        self.avoided = now + Span::from_micros(span.min(AVOID_MAX.micros()));
+        self.failures += 1;
     }
 
-    /// Returns what is known of the upstream, for the record of a decision.
+    /// Returns the load figures that were used, for the record of a decision.
     pub fn known(&self, now: Time) -> Snapshot {
         Snapshot {
             running: self.load.running,
@@ -171,152 +173,161 @@
 
     /// Returns whether the last answer was a failure.
     pub fn is_failing(&self) -> bool {
-        self.strikes > 0
+        self.failures > 0
     }
 
-    /// Returns whether the upstream runs the release that must answer, if one must, and is where
-    /// the request may be served.
-    pub(super) fn suits(&self, wish: &Criteria) -> bool {
-        let release = wish.constraints.release;
+    /// Returns whether the upstream runs the required release, if there is one, and may serve the
+    /// request where it is.
+    pub(super) fn matches(&self, criteria: &Criteria) -> bool {
+        let release = criteria.constraints.release;
         let runs = release.is_none_or(|r| self.placement.release.as_ref() == Some(r));
-        runs && wish.constraints.allows(&self.placement)
+        runs && criteria.constraints.allows(&self.placement)
     }
 
-    /// Returns whether the upstream counts as cold; never, where it bears everything then.
+    /// Returns whether the upstream is cold; always false without a limit for cold upstreams.
     pub fn is_cold(&self, now: Time) -> bool {
         self.warmup.is_some() && self.ramp.is_cold(now)
     }
 
-    /// Sets where it is and what it runs.
-    pub(super) fn set_placement(&mut self, place: Placement) {
-        // What entries tell of one start must not be taken for another's; where beginnings have
-        // their home follows the name, which does not change.
-        let start = place.incarnation.map_or(0, |start| start.0);
-        self.number = mix(self.seed ^ start);
-        self.placement = place;
+    /// Sets the location and software of the upstream.
+    pub(super) fn set_placement(&mut self, placement: Placement) {
+        // Reports of other entries about one start must not be applied to another. The homes of
+        // prefixes depend only on the name, which survives restarts.
+        let start = placement.incarnation.map_or(0, |start| start.0);
+        self.start_id = mix(self.name_hash ^ start);
+        self.placement = placement;
     }
 
-    /// Returns the number that stands for this start of it between entries.
+    /// Returns the identifier of this start of the upstream, which entries use among themselves.
     pub fn start_id(&self) -> u64 {
-        self.number
+        self.start_id
     }
 
-    /// Notes how long work takes there at the moment.
-    pub(super) fn paces(&mut self, pace: Pace, now: Time) {
-        self.pace = Told::new(pace, now);
+    /// Records the pace that the upstream reported.
+    pub(super) fn set_pace(&mut self, pace: Pace, now: Time) {
+        self.pace = PaceReport::new(pace, now);
     }
 
-    /// Notes a reading that another entry sent there.
-    pub(super) fn add_remote_prefill(&mut self, reading: Span, now: Time) {
-        self.others.add(reading, now);
+    /// Adds a prefill of this duration that another entry sent.
+    pub(super) fn add_remote_prefill(&mut self, prefill: Span, now: Time) {
+        self.remote_prefill.add(prefill, now);
     }
 
-    /// Returns what is to be read there, as far as this entry knows.
+    /// Returns the pending prefill of all known requests.
     pub(super) fn pending_prefill(&self, now: Time) -> Span {
-        self.pending_prefill + self.others.left(now)
+        self.pending_prefill + self.remote_prefill.remaining(now)
     }
 
-    /// Returns what crossing to the upstream's data hall costs, in microseconds.
-    pub(super) fn crossing(&self, wish: &Criteria) -> u64 {
-        let there = wish.constraints.hall.zip(self.placement.hall.as_ref());
+    /// Returns the penalty for crossing to the upstream's data hall, in microseconds.
+    pub(super) fn cross_hall_cost(&self, criteria: &Criteria) -> u64 {
+        let there = criteria.constraints.hall.zip(self.placement.hall.as_ref());
         match there.is_some_and(|(own, hall)| own != hall) {
             true => CROSS_HALL_PENALTY.micros(),
             false => 0,
         }
     }
 
-    /// Returns the tokens of the prompt that are cached, as far as this entry
-    /// knows.
-    fn cached(&self, wish: &Criteria, is_home: bool, now: Time) -> u32 {
-        if wish.last_upstream == Some(&self.upstream) {
-            return wish.tokens;
+    /// Returns the prompt tokens that are expected to be cached.
+    fn cached_tokens(&self, criteria: &Criteria, is_home: bool, now: Time) -> u32 {
+        if criteria.last_upstream == Some(&self.upstream) {
+            return criteria.tokens;
         }
-        let known = wish.prefixes.iter().rev().find(|p| self.remembers(p, now));
-        let kept = known.map_or(0, |p| p.tokens);
-        let shared = wish
+        let known = criteria
+            .prefixes
+            .iter()
+            .rev()
+            .find(|p| self.is_cached(p, now));
+        let sent = known.map_or(0, |p| p.tokens);
+        let shared = criteria
             .shared_prefix
             .filter(|_| is_home)
             .map_or(0, |p| p.tokens);
-        kept.max(shared).min(wish.tokens)
+        sent.max(shared).min(criteria.tokens)
     }
 
-    /// Returns the tokens of the prompt that the upstream has to read, as far as this
-    /// entry knows.
-    pub(super) fn uncached_tokens(&self, wish: &Criteria, is_home: bool, now: Time) -> u32 {
-        wish.tokens - self.cached(wish, is_home, now)
+    /// Returns the prompt tokens that are expected not to be cached.
+    pub(super) fn uncached_tokens(&self, criteria: &Criteria, is_home: bool, now: Time) -> u32 {
+        criteria.tokens - self.cached_tokens(criteria, is_home, now)
     }
 
-    /// Returns how high the upstream ranks as the home of a beginning.
-    pub(super) fn rank(&self, hash: u64) -> u64 {
-        mix(hash ^ self.seed)
+    /// Returns the rank of the upstream as the home of a prefix.
+    pub(super) fn home_rank(&self, hash: u64) -> u64 {
+        mix(hash ^ self.name_hash)
     }
 
     /// Returns the expected time to the first token, in microseconds.
-    pub(super) fn first_token(&self, wish: &Criteria, is_home: bool, now: Time) -> u64 {
-        let fresh = u64::from(self.uncached_tokens(wish, is_home, now));
-        // Who leaves the home of its beginning has that read again beside the prompts of others:
-        // so what others sent to the home does not count.
-        let unread = match is_home {
+    pub(super) fn first_token(&self, criteria: &Criteria, is_home: bool, now: Time) -> u64 {
+        let uncached = u64::from(self.uncached_tokens(criteria, is_home, now));
+        // The home is scored without the prefill that other entries sent to it: a request that
+        // leaves the home of its prefix has the prefix read again, beside the prompts of others.
+        let pending = match is_home {
             true => self.pending_prefill,
             false => self.pending_prefill(now),
         };
-        let work = self.work(wish.prefill_rate, fresh, unread);
-        let reread = wish.shared_prefix.map_or(0, |_| fresh * REREAD_US);
-        let work = self.pace.stretch(work + UNKNOWN_SERVICE.micros(), now);
-        self.queue(wish.urgent, now) + work + reread + self.crossing(wish)
+        let work = self.prefill_time(criteria.prefill_rate, uncached, pending);
+        let reread = criteria
+            .shared_prefix
+            .map_or(0, |_| uncached * REREAD_PENALTY_US);
+        let work = self.pace.scale(work + DEFAULT_SERVICE_TIME.micros(), now);
+        self.queue_wait(criteria.urgent, now) + work + reread + self.cross_hall_cost(criteria)
     }
 
-    /// Returns how long reading these tokens takes, and what is read before them, in
-    /// microseconds.
-    fn work(&self, rate: Option<Rate>, fresh: u64, unread: Span) -> u64 {
+    /// Returns the time to read these tokens and the pending prefill before them, in microseconds.
+    fn prefill_time(&self, rate: Option<Rate>, uncached: u64, pending: Span) -> u64 {
         let (rate, before) = match (self.load.prefill_rate, rate) {
-            (0, Some(learned)) => (learned.per_second(), prefill_wait(unread)),
-            (0, None) => (f64::from(PREFILL), self.since(f64::from(PREFILL))),
-            (told, _) => (f64::from(told), self.since(f64::from(told))),
+            (0, Some(learned)) => (learned.per_second(), prefill_wait(pending)),
+            (0, None) => (
+                f64::from(DEFAULT_PREFILL_RATE),
+                self.unreported_prefill(f64::from(DEFAULT_PREFILL_RATE)),
+            ),
+            (reported, _) => (
+                f64::from(reported),
+                self.unreported_prefill(f64::from(reported)),
+            ),
         };
-        before.micros() + (fresh as f64 / rate.max(1.0) * 1e6) as u64
+        before.micros() + (uncached as f64 / rate.max(1.0) * 1e6) as u64
     }
 
-    /// Returns how long reading what was sent since the last report takes.
-    fn since(&self, rate: f64) -> Span {
+    /// Returns the time to read the tokens sent since the last report.
+    fn unreported_prefill(&self, rate: f64) -> Span {
         Span::from_secs_f64(f64::from(self.tokens_since) / rate.max(1.0))
     }
 
     /// Returns the expected wait for a slot, in microseconds.
-    fn queue(&self, urgent: bool, now: Time) -> u64 {
-        let kept = if urgent { 0 } else { self.load.reserve };
-        // An urgent request passes by those that wait.
+    fn queue_wait(&self, urgent: bool, now: Time) -> u64 {
+        let reserved = if urgent { 0 } else { self.load.reserve };
+        // An urgent request overtakes the queued ones.
         let waiting = if urgent { 0 } else { self.load.wait.micros() };
         let reported = (waiting as f64 * self.freshness(now)) as u64;
-        // The share of slots in use breaks ties between idle upstreams and
-        // steers away from one that is about to fill up.
-        let slots = u64::from(self.load.slots.saturating_sub(kept).max(1));
+        // The share of used slots breaks ties between idle upstreams and avoids those that are
+        // almost full.
+        let slots = u64::from(self.load.slots.saturating_sub(reserved).max(1));
         let busy = u64::from(self.load.running.max(self.in_flight) + self.since_report);
         let over = (busy + 1).saturating_sub(slots);
-        reported + busy * 1000 / slots + over * UNKNOWN_SERVICE.micros() / slots
+        reported + busy * 1000 / slots + over * DEFAULT_SERVICE_TIME.micros() / slots
     }
 
     fn freshness(&self, now: Time) -> f64 {
-        let age = now.since(self.reported).secs_f64() / REPORT_LIFE.secs_f64();
+        let age = now.since(self.reported).secs_f64() / REPORT_LIFETIME.secs_f64();
         (2.0 - age).clamp(0.0, 1.0)
     }
 
     fn remember(&mut self, prefix: Prefix, now: Time) {
         self.stamp += 1;
-        let remembered = Remembered {
+        let remembered = SentPrefix {
             stamp: self.stamp,
             used: now,
         };
         self.prefixes.insert(prefix.hash, remembered);
-        if self.prefixes.len() > PREFIXES {
-            // Half at a time, so that most additions cost nothing.
-            let oldest = self.stamp.saturating_sub(PREFIXES as u64 / 2);
+        if self.prefixes.len() > MAX_PREFIXES {
+            // Removing half of the prefixes at once makes most insertions cheap.
+            let oldest = self.stamp.saturating_sub(MAX_PREFIXES as u64 / 2);
             self.prefixes.retain(|_, known| known.stamp > oldest);
         }
     }
 
-    /// Returns whether a beginning that was sent here is taken to be cached still.
-    fn remembers(&self, prefix: &Prefix, now: Time) -> bool {
+    /// Returns whether a prefix that was sent here is expected to be cached.
+    fn is_cached(&self, prefix: &Prefix, now: Time) -> bool {
         let known = self.prefixes.get(&prefix.hash);
         known.is_some_and(|known| now.since(known.used) < PREFIX_LIFETIME)
     }
