--- a/crates/core/src/pick/mod.rs
+++ b/crates/core/src/pick/mod.rs
@@ -434,8 +434,8 @@
         if usable.iter().all(|l| self.is_limited(&self.peers[l])) {
             // Requests of a lower rank get the first chance to use newly available capacity.
             let rank_delay = RANK_DELAY.micros() * u64::from(criteria.rank);
-            let opened = Time(now.0.saturating_sub(rank_delay));
-            usable.retain(|l| self.available_at(&self.peers[l]) <= opened);
+            let latest = Time(now.0.saturating_sub(rank_delay));
+            usable.retain(|l| self.available_at(&self.peers[l]) <= latest);
         }
         let wants_probe = |l: &Link| self.wants_probe(&self.peers[l], now);
         if let Some(link) = usable.iter().copied().find(wants_probe) {
@@ -506,9 +506,10 @@
         halls.collect::<BTreeSet<&Hall>>().len()
     }
 
-    /// Returns the home of the shared prefix. All entries, or those of one data hall, compute the
-    /// same home without communication, so that the prefix is read once and stays in the cache
-    /// there. If the own data hall has no usable upstream, the home is chosen among all.
+    /// Returns the home of the shared prefix: the upstream that caches it for all entries, or for
+    /// those of one data hall. These compute the same home without communication, so that the
+    /// prefix is read once and stays in the cache there. If the own data hall has no usable
+    /// upstream, the home is chosen among all.
     fn home(&self, links: &[Link], criteria: &Criteria) -> Option<Link> {
         let shared = criteria.shared_prefix?;
         let is_near = |l: &&Link| self.peers[*l].cross_hall_cost(criteria) == 0;
--- a/crates/core/src/pick/warmup.rs
+++ b/crates/core/src/pick/warmup.rs
@@ -11,8 +11,8 @@
 /// The longest time between two upstreams that join as part of the initial set. A table is read at
 /// once, and its upstreams then join one after another.
 const MAX_JOIN_GAP: Span = Span::from_millis(500);
-/// The longest time for the whole initial set to join. An instance with 0.09 cores takes about 0.5
-/// s for 3,000 upstreams.
+/// The longest time for the whole initial set to join. An instance with 0.09 cores takes about
+/// 500 ms for 3,000 upstreams.
 const MAX_JOIN_TIME: Span = Span::from_millis(2_000);
 
 /// The progress of the initial set of upstreams, which joins when an entry starts.
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -33,13 +33,13 @@
             let link = first_link + i;
             peers.join(link, format!("u{i}").parse().unwrap(), &pool, load);
             let hall = ["a", "b"][i as usize % 2].parse().unwrap();
-            let place = Placement {
+            let placement = Placement {
                 incarnation: None,
                 hall: Some(hall),
                 release: None,
                 region: None,
             };
-            peers.set_placement(link, place);
+            peers.set_placement(link, placement);
         }
         let hall = "a".parse().unwrap();
         Fixture {
--- a/crates/core/tests/warmup.rs
+++ b/crates/core/tests/warmup.rs
@@ -130,13 +130,13 @@
 
 fn member(link: Link, start: u64) -> Input {
     let hall = ["a", "b", "c"][link as usize % 3].parse().unwrap();
-    let place = Placement {
+    let placement = Placement {
         hall: Some(hall),
         release: Some("v1".parse().unwrap()),
         incarnation: Some(Incarnation(start)),
         region: None,
     };
-    let member = common::member(link, place, 128);
+    let member = common::member(link, placement, 128);
     Input::Join(link, Box::new(member))
 }
 
