--- a/crates/core/src/era/mod.rs
+++ b/crates/core/src/era/mod.rs
@@ -1,11 +1,13 @@
-//! What is known of the platform's store after it came back from a copy.
+//! Detects that the platform's store was restored from a backup, and reconciles known rows with it.
 //!
-//! Such a store has lost its latest changes and gives their versions out again. Each time its era
-//! rises by one, so a version alone says nothing about which of two states is the later one. All
-//! tables are read whole then, and of each row that differs it is decided what holds meanwhile.
+//! A restored store has lost its latest changes and assigns their versions again. Its era rises by
+//! one with each restore, so a version alone does not show which of two states is later. All tables
+//! are then read whole, and for each row that differs it is decided which state holds until the row
+//! is written again.
 //!
 //! ```
-//! use sorreldeck::era::{Backup, Comparison, Era, Freshness, History, Kind, Local, Prior, Resolution, RowState, Stamp, Tracker};
+//! use sorreldeck::era::{Backup, Comparison, Era, Freshness, History, Kind, Local, Prior, Resolution};
+//! use sorreldeck::era::{RowState, Stamp, Tracker};
 //! use sorreldeck::Time;
 //!
 //! let mut tracker = Tracker::default();
@@ -18,10 +20,12 @@
 //! let row = |version, value| RowState { key: "evacuate/a", version, value };
 //! let mut history = History::default();
 //! history.insert(row(20, b"{}"));
-//! let comparison = Comparison::of(Some(row(20, b"{}")), Prior::Deleted, &history, &Backup::default(), 31);
+//! let (stored, backup) = (row(20, b"{}"), Backup::default());
+//! let comparison = Comparison::of(Some(stored), Prior::Deleted, &history, &backup, 31);
 //! assert_eq!(comparison, Comparison::Outdated);
-//! // The operator had taken the order back, so it does not hold again.
-//! assert!(matches!(Resolution::of(Kind::Order, comparison, Local::Absent), Resolution::Retain(Some(_))));
+//! // The operator withdrew the order, so the restored row does not put it in force again.
+//! let resolution = Resolution::of(Kind::Order, comparison, Local::Absent);
+//! assert!(matches!(resolution, Resolution::Retain(Some(_))));
 //! ```
 
 mod reconcile;
@@ -35,7 +39,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// How often the store came back from a copy; 0 where it does not tell.
+/// How often the store was restored from a backup; 0 if it does not report an era.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -52,28 +56,33 @@
 
     fn from_str(s: &str) -> Result<Era> {
         let number = s.parse().map(Era);
-        number.map_err(|_| Error::new(Category::Invalid, format!("{s:?} is no era")))
+        number.map_err(|_| {
+            Error::new(
+                Category::Invalid,
+                format!("invalid era {s:?}: expected a number"),
+            )
+        })
     }
 }
 
 /// A version of the store in one of its eras; a later era is later whatever the version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Stamp {
-    /// The era.
+    /// The era of the store.
     pub era: Era,
-    /// The version in that era.
+    /// The version within that era.
     pub version: u64,
 }
 
 impl Stamp {
-    /// Returns the stamp of a version in an era.
+    /// Creates the stamp of a version in an era.
     pub fn new(era: Era, version: u64) -> Stamp {
         Stamp { era, version }
     }
 }
 
 impl From<u64> for Stamp {
-    /// Returns the stamp of a version where the store tells no era.
+    /// Returns the stamp of a version of a store that reports no era.
     fn from(version: u64) -> Stamp {
         Stamp::new(Era::default(), version)
     }
--- a/crates/core/src/era/reconcile.rs
+++ b/crates/core/src/era/reconcile.rs
@@ -1,47 +1,49 @@
-//! What becomes of what was known of a row when the store came back from a copy.
+//! Decides between the known and the stored state of a row after the store was restored from a
+//! backup.
 //!
-//! The store has lost what was written since the copy was made; whoever wrote it writes it again,
-//! in any order and some seconds late. What was in force stays so meanwhile.
+//! The store has lost all writes made after the backup. Their authors write them again, in any
+//! order and some seconds late; until then the known state stays in force.
 
 use crate::digest::truncate;
 use crate::unit::Span;
 use std::collections::{BTreeSet, VecDeque};
 
-/// How long an order holds that is not in the copy: the operator writes it again within seconds.
-const ORDER: Span = Span::from_millis(30_000);
-/// How long what is known of a row holds against another state of it that may be an earlier one.
-const UNSURE: Span = Span::from_millis(3_000);
-/// How long an upstream that is not in the copy is used: it checks in each 1.2 s, and one that left
-/// must get nothing more after 2 s.
-const RETURN: Span = Span::from_millis(1_800);
-/// How long an upstream that was gone and is in the copy is not used: the store drops it after
-/// three check-ins of silence.
-const LEASE: Span = Span::from_millis(4_500);
-/// The rows that must be as they were known for what is earlier than all of them to have been copied:
-/// one may have been written again under its former version.
-const UNCHANGED: usize = 3;
-/// The most former states of rows that are remembered: those of some minutes.
-const MOST: usize = 4_096;
-
-/// What a row was when it was heard of last.
+/// How long an operator's order that is missing from the backup stays in force; the operator writes
+/// it again within seconds.
+const ORDER_RETENTION: Span = Span::from_millis(30_000);
+/// How long the known state of a row is kept if the stored state may be an earlier one.
+const AMBIGUOUS_RETENTION: Span = Span::from_millis(3_000);
+/// How long an upstream that is missing from the backup is still used. It checks in every 1.2 s,
+/// and one that left must get no requests after 2 s.
+const UPSTREAM_RETENTION: Span = Span::from_millis(1_800);
+/// How long an upstream that was gone but is present in the backup is not used; the store drops it
+/// after three missed check-ins.
+const DEPARTURE_RETENTION: Span = Span::from_millis(4_500);
+/// How many rows must be unchanged for changes older than all of them to count as part of the
+/// backup; a single row may have been written again under its former version.
+const MIN_UNCHANGED: usize = 3;
+/// The most former row states that are kept, enough for some minutes.
+const MAX_STATES: usize = 4_096;
+
+/// The state of a row when it was last reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Prior<'a> {
-    /// Nothing, ever.
+    /// The row was never reported.
     Unknown,
-    /// That it was there, and is not any more.
+    /// The row existed and was deleted.
     Deleted,
-    /// What it holds.
+    /// The row exists in this state.
     Present(RowState<'a>),
 }
 
-/// A row as it stood at a version of the store.
+/// The state of a row at one version of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RowState<'a> {
-    /// The key.
+    /// The key of the row.
     pub key: &'a str,
-    /// The version.
+    /// The version of the store.
     pub version: u64,
-    /// The value.
+    /// The value of the row.
     pub value: &'a [u8],
 }
 
@@ -56,141 +58,142 @@
     }
 }
 
-/// The former states of rows, the latest of them.
+/// The latest row states that were replaced by others, as digests.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    known: BTreeSet<u64>,
+    digests: BTreeSet<u64>,
     order: VecDeque<u64>,
 }
 
 impl History {
-    /// Notes a state that another one has replaced.
+    /// Adds a row state that was replaced by another.
     pub fn insert(&mut self, row: RowState) {
         let digest = row.digest();
-        if !self.known.insert(digest) {
+        if !self.digests.insert(digest) {
             return;
         }
         self.order.push_back(digest);
-        if self.order.len() > MOST {
+        if self.order.len() > MAX_STATES {
             if let Some(first) = self.order.pop_front() {
-                self.known.remove(&first);
+                self.digests.remove(&first);
             }
         }
     }
 
-    /// Returns whether a row stood so before.
+    /// Returns whether a row was in this state before.
     pub fn contains(&self, row: RowState) -> bool {
-        self.known.contains(&row.digest())
+        self.digests.contains(&row.digest())
     }
 }
 
-/// What was surely in the copy from which the store came back.
+/// What the backup from which the store was restored certainly contains.
 #[derive(Clone, Debug, Default)]
 pub struct Backup {
-    /// The version up to which changes were copied.
+    /// The version up to which changes are in the backup.
     version: u64,
 }
 
 impl Backup {
-    /// Returns what follows from the versions of rows that are as they were known.
+    /// Estimates the content of the backup from the versions of rows that have not changed.
     pub fn estimate(unchanged: impl IntoIterator<Item = u64>) -> Backup {
         let mut versions: Vec<u64> = unchanged.into_iter().collect();
         versions.sort_unstable();
-        let version = versions.iter().rev().nth(UNCHANGED - 1);
+        let version = versions.iter().rev().nth(MIN_UNCHANGED - 1);
         Backup {
             version: version.copied().unwrap_or(0),
         }
     }
 
-    /// Returns whether a change that was made before the copy would be in it.
+    /// Returns whether the backup contains a change that was made at this version before the
+    /// restore.
     pub fn contains(&self, version: u64) -> bool {
         version <= self.version
     }
 }
 
-/// What the store holds of a row after it came back, against what was known.
+/// How the state of a row in the restored store compares with its known state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
-    /// What was known.
+    /// The states are the same.
     Same,
-    /// Nothing, though it was copied: it was dropped since the store is back.
+    /// The row is missing though the backup contains it, so it was deleted after the restore.
     Deleted,
-    /// Nothing.
+    /// The row is missing.
     Missing,
-    /// What was known before the latest change, which is lost.
+    /// The stored state is a former one; the latest change is lost.
     Outdated,
-    /// Something else under a version that was given out before: a state between two that were
-    /// heard of, or one that was written since the store is back.
+    /// The stored state has a version that was assigned before the restore: either it lies between
+    /// two known states, or it was written after the restore.
     Ambiguous,
-    /// Something that was not known.
+    /// The stored state was not known.
     New,
 }
 
 impl Comparison {
-    /// Compares a row of the store with what was known of it, and before; `newest` is the version
+    /// Compares the stored state of a row with its known and former states. `newest` is the version
     /// up to which the table was known.
     pub fn of(
         stored: Option<RowState>,
         known: Prior,
-        past: &History,
-        copied: &Backup,
+        history: &History,
+        backup: &Backup,
         newest: u64,
     ) -> Comparison {
         let Some(stored) = stored else {
             return match known {
-                Prior::Present(known) if copied.contains(known.version) => Comparison::Deleted,
+                Prior::Present(known) if backup.contains(known.version) => Comparison::Deleted,
                 _ => Comparison::Missing,
             };
         };
         let is_reused = known != Prior::Unknown && stored.version <= newest;
         match known {
             Prior::Present(known) if known == stored => Comparison::Same,
-            _ if past.contains(stored) => Comparison::Outdated,
-            _ if is_reused && copied.contains(stored.version) => Comparison::Outdated,
+            _ if history.contains(stored) => Comparison::Outdated,
+            _ if is_reused && backup.contains(stored.version) => Comparison::Outdated,
             _ if is_reused => Comparison::Ambiguous,
             _ => Comparison::New,
         }
     }
 }
 
-/// What a row tells of.
+/// What the row of a table describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The configuration, which names its own revision.
+    /// The configuration, which contains its own revision.
     Configuration,
     /// An order of the operator.
     Order,
-    /// An upstream, which writes its row itself.
+    /// An upstream, which writes its own row.
     Upstream,
-    /// What entries record.
+    /// A record written by entries.
     Record,
 }
 
-/// What was known of a row, as it bears on what the store holds.
+/// The known state of a row as compared with the stored one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Local {
-    /// That it is not there.
+    /// The row does not exist.
     Absent,
-    /// Its value.
+    /// The row exists.
     Present,
-    /// A value that is later than the one in the store by its own account: a higher revision, or
-    /// that the same start of an upstream leaves.
+    /// The row is newer than the stored one by its content: it has a higher revision, or says that
+    /// the same start of an upstream is leaving.
     Newer,
 }
 
-/// What becomes of what was known of a row.
+/// Which state of a row holds after a restore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resolution {
-    /// The row in the store takes its place.
+    /// The stored state replaces the known one.
     Replace,
-    /// It holds until the row is written again, or for so long.
+    /// The known state is kept until the row is written again, or at most for this time.
     Retain(Option<Span>),
 }
 
 impl Resolution {
-    /// Decides what becomes of what was known of a row.
-    pub fn of(kind: Kind, standing: Comparison, known: Local) -> Resolution {
-        match (kind, standing, known) {
+    /// Decides which state of a row holds.
+    pub fn of(kind: Kind, comparison: Comparison, known: Local) -> Resolution {
+        match (kind, comparison, known) {
             (_, Comparison::Same, _) | (_, Comparison::Missing, Local::Absent) => {
                 Resolution::Replace
             }
@@ -198,14 +201,16 @@
             (Kind::Configuration | Kind::Upstream, _, Local::Newer) => Resolution::Retain(None),
             (Kind::Configuration, ..) => Resolution::Replace,
             (Kind::Order, Comparison::Missing | Comparison::Outdated, _) => {
-                Resolution::Retain(Some(ORDER))
+                Resolution::Retain(Some(ORDER_RETENTION))
             }
             (Kind::Order | Kind::Record, Comparison::Ambiguous, _) => {
-                Resolution::Retain(Some(UNSURE))
+                Resolution::Retain(Some(AMBIGUOUS_RETENTION))
+            }
+            (Kind::Upstream, Comparison::Missing, _) => {
+                Resolution::Retain(Some(UPSTREAM_RETENTION))
             }
-            (Kind::Upstream, Comparison::Missing, _) => Resolution::Retain(Some(RETURN)),
             (Kind::Upstream, Comparison::Outdated | Comparison::Ambiguous, Local::Absent) => {
-                Resolution::Retain(Some(LEASE))
+                Resolution::Retain(Some(DEPARTURE_RETENTION))
             }
             (Kind::Record, Comparison::Missing | Comparison::Outdated, _) => {
                 Resolution::Retain(None)
--- a/crates/core/src/era/tracker.rs
+++ b/crates/core/src/era/tracker.rs
@@ -1,55 +1,63 @@
-//! What the era that an answer of the store tells means.
+//! Tracks the era of the store and classifies the answers of the store by it.
 
 use super::Era;
 use crate::unit::Time;
 use std::cmp::Ordering;
 
-/// What an answer of the store is by its era.
+/// How an answer of the store relates to the known era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It is of the era that is known, or tells none.
+    /// The answer is of the known era, or names none.
     Current,
-    /// The store came back from a copy since the era `before`: all tables must be read whole.
+    /// The store was restored from a backup since the era `before`, so all tables must be read
+    /// whole.
     Restored {
-        /// The era that was known.
+        /// The era that was known before the restore.
         before: Era,
     },
-    /// It is older than what is known, and must be left.
+    /// The answer is older than the known state and must be discarded.
     Stale,
 }
 
-/// The era of the store as it was heard last.
+/// The latest known era of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tracker {
-    known: Option<Era>,
+    era: Option<Era>,
     /// When the latest answer of that era arrived.
     at: Time,
 }
 
 impl Tracker {
-    /// Returns the era that is known; the first one where none was told.
+    /// Returns the known era, or the first one if none was reported.
     pub fn current(&self) -> Era {
-        self.known.unwrap_or_default()
+        self.era.unwrap_or_default()
     }
 
-    /// Takes in the era that the store told in answer to a call begun at `asked`; `fell` says that
-    /// its versions are lower than before, so that it came back though it told no other era.
+    /// Processes the era in the answer to a call that began at `asked`. `fell` says that the
+    /// versions of the store are lower than before, which shows a restore even if the era did not
+    /// change.
     ///
-    /// What goes back counts only where the call began after the latest answer: any other may have
-    /// been on its way since before.
-    pub fn observe(&mut self, told: Option<Era>, fell: bool, asked: Time, now: Time) -> Freshness {
+    /// A step backwards counts only if the call began after the latest answer arrived: the answer
+    /// to an earlier call may have been sent before that one.
+    pub fn observe(
+        &mut self,
+        reported: Option<Era>,
+        fell: bool,
+        asked: Time,
+        now: Time,
+    ) -> Freshness {
         let before = self.current();
-        let told = told.unwrap_or(before);
-        let goes_back = told < before || (told == before && fell);
+        let reported = reported.unwrap_or(before);
+        let goes_back = reported < before || (reported == before && fell);
         if goes_back && asked <= self.at {
             return Freshness::Stale;
         }
-        let next = match told == before && fell {
+        let next = match reported == before && fell {
             true => Era(before.0.saturating_add(1)),
-            false => told,
+            false => reported,
         };
-        let is_first = self.known.is_none() && !fell;
-        self.known = Some(next);
+        let is_first = self.era.is_none() && !fell;
+        self.era = Some(next);
         self.at = now;
         match is_first || next == before {
             true => Freshness::Current,
@@ -57,13 +65,13 @@
         }
     }
 
-    /// Takes in the era that another entry tells, of which only a later one counts.
-    pub fn observe_peer(&mut self, told: Era, now: Time) -> Freshness {
-        match told.cmp(&self.current()) {
+    /// Processes the era that another entry reports; only a later one has an effect.
+    pub fn observe_peer(&mut self, reported: Era, now: Time) -> Freshness {
+        match reported.cmp(&self.current()) {
             Ordering::Less => Freshness::Stale,
             Ordering::Equal => Freshness::Current,
-            // A later era never goes back, whenever it was asked for.
-            Ordering::Greater => self.observe(Some(told), false, now, now),
+            // A later era is never a step backwards, so it does not matter when it was requested.
+            Ordering::Greater => self.observe(Some(reported), false, now, now),
         }
     }
 }
