--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -1,16 +1,18 @@
-//! Which entries read the platform's store, and from whom the others have its tables.
+//! Decides which entries read the platform's store, and from which sources the others replicate its
+//! tables.
 //!
-//! In each data hall the entry that ranks first reads the store and hands its tables down;
-//! the one that ranks second has them from it and hands them on as well, and the others hold
-//! links to both. So what changed goes once into each data hall, however many entries are there.
+//! In each data hall the entry that ranks first reads the store and serves its tables to others.
+//! The entry that ranks second replicates them from it and serves them as well, and all others hold
+//! links to both. A change therefore enters each data hall once, however many entries it has.
 //!
-//! Who ranks first follows from the names of all entries that ever announced themselves, so all
-//! agree on it without talking; that some of them are gone shows when they are asked. An entry
-//! that is asked for tables reads the store, whatever its own rank, unless one that ranks before
-//! it is new enough.
-//! Versions decide which of two pages is newer, so two readers at a time are harmless;
-//! that none reads must be short: who hears nothing new enough goes to the next in rank,
-//! and then to the store itself.
+//! The rank follows from the announcements of all entries that ever started, so all entries compute
+//! the same order without coordination. Entries that are gone are detected when they are contacted.
+//! An entry that is asked for tables reads the store whatever its own rank, unless one that ranks
+//! before it is fresh.
+//!
+//! Versions decide which of two pages is newer, so two readers at a time are harmless. A time
+//! without any reader must be short: an entry without a fresh source contacts the next in rank, and
+//! then reads the store itself.
 //!
 //! ```
 //! use sorreldeck::replication::{Action, Peer, Planner, Subscription, Timeouts};
@@ -37,60 +39,61 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The sources of each entry that does not read the store: with one, every loss of it would
+/// The number of sources of an entry that does not read the store. With one, each loss of it would
 /// be a gap of [`Timeouts::silence`].
 const SOURCES: usize = 2;
-/// How many entries of a data hall are tried in the order of rank, before an entry reads
-/// the store itself: where a third of all are turned away by the store, one in 25 entries
-/// finds three of them so. Those that have been gone for long are passed over.
-const REACH: usize = 3;
-/// How many are asked at a time when the first has failed: one after the other would take
-/// [`Timeouts::warmup`] each.
-const AT_ONCE: usize = 2;
-/// How long an entry that knows no configuration waits for its sources before it reads
-/// the store: callers are served 150 ms after a loss of all entries, of which the start
-/// and the reading take 50.
+/// How many entries of a data hall are tried in the order of rank before an entry reads the store
+/// itself. If the store turns away a third of all entries, one entry in 25 meets three of these.
+/// Entries that have been gone for long are not counted.
+const MAX_CANDIDATES: usize = 3;
+/// How many entries are contacted at a time after the first has failed; one after the other would
+/// take [`Timeouts::warmup`] each.
+const PARALLEL_ATTEMPTS: usize = 2;
+/// How long an entry without a configuration waits for its sources before it reads the store.
+/// Clients are served 150 ms after a loss of all entries, of which the start and the reading take
+/// 50 ms.
 const START_WAIT: Span = Span::from_millis(100);
-/// How much longer it waits for each entry of its data hall: where a hundred start together, all
-/// would read the store, or take all tables from another data hall.
-const START_WAIT_EACH: Span = Span::from_millis(10);
-/// How long an entry that reads the operator's table for want of a source goes on with
-/// that alone once the store is back: most sources are back within their pause of 0.6 s,
-/// and reading all tables meanwhile would cost four calls for each entry.
+/// The additional wait for each entry of its data hall. Without it, a hundred entries that start
+/// together would all read the store, or fetch all tables from another data hall.
+const START_WAIT_PER_ENTRY: Span = Span::from_millis(10);
+/// How long an entry that reads only the operator's table for lack of a source goes on with that
+/// table alone once the store is back. Most sources are back within their pause of 0.6 s, and
+/// reading all tables meanwhile would cost four calls for each entry.
 const SETTLE: Span = Span::from_millis(500);
-/// How long an entry goes on reading that need not any more, so that a source which comes
-/// and goes does not make it begin anew each time.
+/// How long an entry goes on reading the store after it is no longer needed, so that an unstable
+/// source does not make it start over each time.
 const LINGER: Span = Span::from_millis(2_000);
 
-/// The times within which sources are changed, all parts of the time within which a
+/// The time limits by which sources are replaced, all fractions of the time within which a
 /// configuration must be in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// How often a source is heard, whether or not there is news.
+    /// How often a source sends a message, with or without changes.
     pub heartbeat: Span,
-    /// How long a source may be silent.
+    /// How long a source may send nothing.
     pub silence: Span,
-    /// How long a reader that hands tables down waits on the operator's.
+    /// How long a reader that serves tables to others waits for a change of the operator's table.
     pub long_poll: Span,
-    /// How old what a source knows of the store may be: a wait, 250 ms for which a reader
-    /// gathers changes, 200 ms of a slow store, and the way over the links.
+    /// How old a source's data of the store may be: one long poll, 250 ms for which a reader
+    /// collects changes, 200 ms of a slow store, and the transfer over the links.
     pub max_staleness: Span,
-    /// How long a source may take to be linked and to have read the store for the first
-    /// time.
+    /// How long a source may take to be linked and to have read the store for the first time.
     pub warmup: Span,
-    /// How long a change that the store named may be missing before the tables are asked
-    /// anew: longer than the 600 ms for which changes of the upstreams are gathered.
+    /// How long the change of a version that the store reported may be missing before the tables
+    /// are requested again: longer than the 600 ms for which changes of the upstreams are
+    /// collected.
     pub version_gap: Span,
 }
 
 impl Timeouts {
-    /// Returns the times for a configuration that must be in force after `limit`.
+    /// Returns the time limits for a configuration that must be in force after `limit`.
     ///
-    /// When both sources of an entry are cut off just after they read, an entry leaves them
-    /// after 0.575 of the limit, has been in vain at the next two after 0.7, and then
-    /// reads the store; 0.3 are left for that and for putting the configuration in force.
-    /// A change that no wait tells of is named after 0.35 of the limit and asked for after
-    /// 0.675, so that a reader and those that have the tables from it know it in time.
+    /// If both sources of an entry are cut off just after they read the store, the entry gives them
+    /// up after 0.575 of the limit, has failed to use the next two after 0.7, and then reads the
+    /// store; 0.3 are left for that and for putting the configuration in force. The version of a
+    /// change that no long poll returns is reported after 0.35 of the limit and its tables are
+    /// requested after 0.675, so that a reader and the entries that replicate from it get the
+    /// change in time.
     pub fn of(limit: Span) -> Timeouts {
         let part = |thousandths: u64| Span::from_micros(limit.micros() / 1000 * thousandths);
         Timeouts {
@@ -107,21 +110,21 @@
 /// What an entry reads of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Subscription {
-    /// Nothing: its sources hand the tables down.
+    /// Nothing: its sources serve the tables.
     #[default]
     Nothing,
-    /// The list of entries, once, to know its sources.
+    /// The list of entries, once, to find its sources.
     Entries,
-    /// The operator's table, since no source is new enough.
+    /// The operator's table, because no source is fresh.
     Operator,
     /// All tables.
     All,
 }
 
-/// What is to be done.
+/// An action for the caller to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Open a link to another entry and ask it for tables.
+    /// Open a link to another entry and request its tables.
     Open(InstanceId, SocketAddr),
     /// Close the link to another entry.
     Close(InstanceId),
@@ -129,82 +132,83 @@
     Read(Subscription),
 }
 
-/// What a source tells about itself with each message.
+/// The status that a source reports with each message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// When the store was heard, by the source itself or by one of its own sources, on
-    /// this process's clock; `None` if it never was.
+    /// When the source or one of its own sources last had contact with the store, on this process's
+    /// clock; `None` if there was none.
     pub last_sync: Option<Time>,
     /// Whether the source is about to stop.
     pub leaving: bool,
 }
 
-/// From whom an entry has the store's tables.
+/// Decides from where an entry gets the store's tables.
 #[derive(Clone, Debug)]
 pub struct Planner {
     own: Peer,
-    bounds: Timeouts,
+    timeouts: Timeouts,
     peers: BTreeMap<InstanceId, Peer>,
-    /// The names of each data hall in the order of their rank, without those learned since the
-    /// last step: 300 entries are learned at once, and each would rank all anew.
+    /// The names of the entries of each data hall in the order of their rank, without those added
+    /// since the last step: 300 entries are added at once, and each would cause a new ranking.
     ranked: BTreeMap<Hall, Vec<InstanceId>>,
-    /// Whether some were learned since.
-    learned: bool,
+    /// Whether entries were added since the last ranking.
+    peers_changed: bool,
     contacts: BTreeMap<InstanceId, Contact>,
-    reading: Subscription,
-    /// Whether the list of entries is known.
+    subscription: Subscription,
+    /// Whether the list of entries was read.
     listed: bool,
-    /// Since when the list is known and nothing else; requests cannot be served then.
-    began: Option<Time>,
+    /// When the list of entries was read first; until a configuration is known no requests can be
+    /// served.
+    listed_at: Option<Time>,
     /// Whether a configuration is known.
-    informed: bool,
-    /// Whether other entries ask this one for tables.
-    asked: bool,
-    /// When this entry heard the store last, itself or through a source.
-    heard: Option<Time>,
-    /// Since when no source is new enough.
-    bare: Option<Time>,
-    /// When the store has answered this entry, which reads it for want of a source.
-    settling: Option<Time>,
-    /// Whether the store has not answered it before that.
-    missed: bool,
-    /// When reading was last needed.
-    needed: Option<Time>,
+    configured: bool,
+    /// Whether other entries request tables of this one.
+    requested: bool,
+    /// When this entry last had contact with the store, itself or through a source.
+    last_sync: Option<Time>,
+    /// Since when no source is fresh.
+    sourceless_since: Option<Time>,
+    /// Since when the store answers this entry, which reads it for lack of a source.
+    answering_since: Option<Time>,
+    /// Whether the store failed to answer before that.
+    has_failed: bool,
+    /// When reading the store was last necessary.
+    needed_at: Option<Time>,
 }
 
 impl Planner {
-    /// Creates the state of an entry that knows of no others.
-    pub fn new(own: Peer, bounds: Timeouts) -> Planner {
-        let mut follow = Planner {
+    /// Creates the planner of an entry that knows no others.
+    pub fn new(own: Peer, timeouts: Timeouts) -> Planner {
+        let mut planner = Planner {
             own: own.clone(),
-            bounds,
+            timeouts,
             peers: BTreeMap::new(),
             ranked: BTreeMap::new(),
-            learned: false,
+            peers_changed: false,
             contacts: BTreeMap::new(),
-            reading: Subscription::default(),
+            subscription: Subscription::default(),
             listed: false,
-            began: None,
-            informed: false,
-            asked: false,
-            heard: None,
-            bare: None,
-            settling: None,
-            missed: false,
-            needed: None,
+            listed_at: None,
+            configured: false,
+            requested: false,
+            last_sync: None,
+            sourceless_since: None,
+            answering_since: None,
+            has_failed: false,
+            needed_at: None,
         };
-        follow.add_peer(own);
-        follow
+        planner.add_peer(own);
+        planner
     }
 
-    /// Returns the times by which sources are changed.
+    /// Returns the time limits by which sources are replaced.
     pub fn timeouts(&self) -> Timeouts {
-        self.bounds
+        self.timeouts
     }
 
     /// Returns what this entry reads of the store.
     pub fn subscription(&self) -> Subscription {
-        self.reading
+        self.subscription
     }
 
     /// Returns whether an entry is in the data hall of this one.
@@ -213,7 +217,7 @@
         peer.is_some_and(|p| p.hall == self.own.hall)
     }
 
-    /// Returns the names of the entries that are known, with this one.
+    /// Returns the names of all known entries, including this one.
     pub fn entries(&self) -> impl Iterator<Item = &InstanceId> {
         self.peers.keys()
     }
@@ -223,32 +227,32 @@
         self.ranked.keys().cloned().collect()
     }
 
-    /// Returns how long ago the store was heard, by whatever way.
+    /// Returns how long ago the last contact with the store was, direct or through a source.
     pub fn age(&self, now: Time) -> Option<Span> {
-        self.heard.map(|at| now.since(at))
+        self.last_sync.map(|at| now.since(at))
     }
 
-    /// Returns when the store was heard, by whatever way.
+    /// Returns when the last contact with the store was, direct or through a source.
     pub fn last_sync(&self) -> Option<Time> {
-        self.heard
+        self.last_sync
     }
 
-    /// Returns the source in the own data hall that passes on what entries tell one another: the
-    /// first in rank that is new enough, so that each is told once.
+    /// Returns the source in the own data hall that forwards messages between entries: the first in
+    /// rank that is fresh, so that each message is forwarded once.
     pub fn primary(&self, now: Time) -> Option<&InstanceId> {
         let sources = self.sources(now);
         let mut near = self.ranked.get(&self.own.hall).into_iter().flatten();
         near.find(|name| sources.contains(name))
     }
 
-    /// Returns the sources that are new enough.
+    /// Returns the sources that are fresh.
     pub fn sources(&self, now: Time) -> Vec<&InstanceId> {
-        let fresh = |c: &Contact| c.look(now, &self.bounds) == Health::Fresh;
+        let fresh = |c: &Contact| c.assess(now, &self.timeouts) == Health::Fresh;
         let found = self.contacts.iter().filter(|(_, c)| fresh(c));
         found.map(|(name, _)| name).collect()
     }
 
-    /// Notes an entry that announced itself.
+    /// Adds an entry that announced itself, or updates it.
     pub fn add_peer(&mut self, peer: Peer) {
         let name = peer.name.clone();
         let before = self.peers.insert(name.clone(), peer.clone());
@@ -258,75 +262,75 @@
         if before.is_some_and(|b| b.address != peer.address) {
             self.contacts.remove(&name);
         }
-        self.learned = true;
+        self.peers_changed = true;
     }
 
-    /// Notes that the list of entries is known.
+    /// Records that the list of entries was read.
     pub fn set_listed(&mut self, now: Time) {
         self.listed = true;
-        self.began.get_or_insert(now);
+        self.listed_at.get_or_insert(now);
     }
 
-    /// Notes that a configuration is known, so that requests can be served.
+    /// Records that a configuration is known, so that requests can be served.
     pub fn set_configured(&mut self) {
-        self.informed = true;
+        self.configured = true;
     }
 
-    /// Notes whether other entries ask this one for tables.
-    pub fn set_requested(&mut self, asked: bool) {
-        self.asked = asked;
+    /// Records whether other entries request tables of this one.
+    pub fn set_requested(&mut self, requested: bool) {
+        self.requested = requested;
     }
 
-    /// Notes that this entry had all tables from the store at a time.
+    /// Records that this entry had all tables of the store at a time.
     pub fn record_sync(&mut self, at: Time) {
-        self.heard = self.heard.max(Some(at));
+        self.last_sync = self.last_sync.max(Some(at));
     }
 
-    /// Notes that the store has answered this entry.
+    /// Records that the store answered this entry.
     pub fn store_answered(&mut self, now: Time) {
-        if self.reading == Subscription::Operator {
-            self.settling.get_or_insert(now);
+        if self.subscription == Subscription::Operator {
+            self.answering_since.get_or_insert(now);
         }
     }
 
-    /// Notes that the store did not answer this entry.
+    /// Records that the store did not answer this entry.
     pub fn store_failed(&mut self) {
-        self.settling = None;
-        self.missed = true;
+        self.answering_since = None;
+        self.has_failed = true;
     }
 
-    /// Notes that the link to an entry is open; returns whether it is still wanted. Another
-    /// source may have become new enough while it was opened.
+    /// Records that the link to an entry is open; returns whether it is still needed. Another
+    /// source may have become fresh while it was opened.
     pub fn link_opened(&mut self, name: &InstanceId, now: Time) -> bool {
         let contact = self.contacts.get_mut(name);
         match contact.filter(|contact| contact.is_linked()) {
             Some(contact) => {
-                contact.opened(now);
+                contact.link_opened(now);
                 true
             }
             None => false,
         }
     }
 
-    /// Notes that there is no link to an entry, or none any more.
+    /// Records that the link to an entry was closed or could not be opened.
     pub fn link_closed(&mut self, name: &InstanceId, now: Time) {
         if let Some(contact) = self.contacts.get_mut(name) {
-            contact.closed(now);
+            contact.link_failed(now);
         }
     }
 
-    /// Takes in what an entry tells about itself.
-    pub fn record_status(&mut self, name: &InstanceId, word: Status, now: Time) {
+    /// Records the status that an entry reports.
+    pub fn record_status(&mut self, name: &InstanceId, status: Status, now: Time) {
         let Some(contact) = self.contacts.get_mut(name) else {
             return;
         };
-        contact.heard(word, now);
-        self.heard = self.heard.max(word.last_sync);
+        contact.record_status(status, now);
+        self.last_sync = self.last_sync.max(status.last_sync);
     }
 
-    /// Returns what is to be done now.
+    /// Returns the actions to take now.
     pub fn step(&mut self, now: Time) -> Vec<Action> {
-        if std::mem::take(&mut self.learned) {
+        if std::mem::take(&mut self.peers_changed) {
             self.ranked = rank::by_hall(self.peers.values());
         }
         let mut actions = Vec::new();
@@ -334,100 +338,101 @@
             return self.read(Subscription::Entries, actions);
         }
         let mut kept = BTreeSet::new();
-        let walk = self.walk_all(now, &mut kept, &mut actions);
+        let scan = self.scan_halls(now, &mut kept, &mut actions);
         let links = self.contacts.iter_mut();
         for (name, contact) in links.filter(|(name, c)| !kept.contains(*name) && c.is_linked()) {
-            contact.dropped();
+            contact.link_dropped();
             actions.push(Action::Close(name.clone()));
         }
-        let reading = self.wanted(&walk, now);
-        self.read(reading, actions)
+        let subscription = self.choose(&scan, now);
+        self.read(subscription, actions)
     }
 
-    fn read(&mut self, reading: Subscription, mut actions: Vec<Action>) -> Vec<Action> {
-        if self.reading != reading {
-            self.reading = reading;
-            self.settling = None;
-            self.missed = false;
-            actions.push(Action::Read(reading));
+    fn read(&mut self, subscription: Subscription, mut actions: Vec<Action>) -> Vec<Action> {
+        if self.subscription != subscription {
+            self.subscription = subscription;
+            self.answering_since = None;
+            self.has_failed = false;
+            actions.push(Action::Read(subscription));
         }
         actions
     }
 
-    /// Goes through the own data hall and the next one, and through all where this entry
-    /// reads the store: so what is found in one data hall reaches all.
-    fn walk_all(
+    /// Scans the own data hall and the next one, or all data halls if this entry reads the store,
+    /// so that the changes found in one data hall reach all.
+    fn scan_halls(
         &mut self,
         now: Time,
         kept: &mut BTreeSet<InstanceId>,
         actions: &mut Vec<Action>,
-    ) -> Walk {
+    ) -> Scan {
         let home = self.own.hall.clone();
         let after = self.ranked.keys().filter(|hall| **hall > home);
         let before = self.ranked.keys().filter(|hall| **hall < home);
         let others: Vec<Hall> = after.chain(before).cloned().collect();
-        let mut walk = self.walk(&home, SOURCES, now, kept, actions);
-        walk.near = walk.fresh;
-        let far = match (walk.near, walk.own) {
+        let mut scan = self.scan(&home, SOURCES, now, kept, actions);
+        scan.near = scan.fresh;
+        let far = match (scan.near, scan.own) {
             (0, true) => others.len(),
-            // The next data hall helps where none of the own has anything new, and this entry
-            // knows enough that it need not have all tables from there.
-            (0, false) if walk.warming == 0 && self.informed => 1,
+            // The next data hall is used if no source of the own one is fresh and this entry has
+            // enough state not to need all tables from there.
+            (0, false) if scan.warming == 0 && self.configured => 1,
             _ => 0,
         };
         for hall in others.iter().take(far) {
-            let more = self.walk(hall, 1, now, kept, actions);
-            walk.fresh += more.fresh;
-            walk.warming += more.warming;
+            let more = self.scan(hall, 1, now, kept, actions);
+            scan.fresh += more.fresh;
+            scan.warming += more.warming;
         }
-        walk
+        scan
     }
 
-    /// Goes through a data hall by rank until enough sources are new enough, or this entry comes;
-    /// opens what is missing and keeps what is on the way.
-    fn walk(
+    /// Scans a data hall in the order of rank until enough sources are fresh or this entry itself
+    /// is reached. Opens missing links and keeps those that are being opened.
+    fn scan(
         &mut self,
         hall: &Hall,
         wanted: usize,
         now: Time,
         kept: &mut BTreeSet<InstanceId>,
         actions: &mut Vec<Action>,
-    ) -> Walk {
-        let mut walk = Walk::default();
-        let bounds = self.bounds_now();
-        // At the start all sources start as well; asking more would make more of them read.
-        let at_once = match self.informed {
-            true => wanted.max(AT_ONCE),
+    ) -> Scan {
+        let mut scan = Scan::default();
+        let timeouts = self.current_timeouts();
+        // During a start all sources start as well; contacting more entries would make more of them
+        // read the store.
+        let at_once = match self.configured {
+            true => wanted.max(PARALLEL_ATTEMPTS),
             false => wanted,
         };
         let mut tried = 0;
         for name in self.ranked.get(hall).into_iter().flatten() {
-            if walk.fresh >= wanted || tried >= REACH {
+            if scan.fresh >= wanted || tried >= MAX_CANDIDATES {
                 break;
             }
             tried += 1;
             if *name == self.own.name {
-                walk.own = true;
+                scan.own = true;
                 break;
             }
             let contact = self.contacts.entry(name.clone()).or_default();
-            match contact.health(now, &bounds) {
-                Health::Fresh => walk.fresh += 1,
-                Health::Warming => walk.warming += 1,
+            match contact.health(now, &timeouts) {
+                Health::Fresh => scan.fresh += 1,
+                Health::Warming => scan.warming += 1,
                 Health::Stale => {}
                 Health::Silent => {
-                    contact.closed(now);
+                    contact.link_failed(now);
                     actions.push(Action::Close(name.clone()));
                     continue;
                 }
-                Health::Resting => {
-                    tried -= usize::from(contact.is_long_gone());
+                Health::BackingOff => {
+                    tried -= usize::from(contact.is_gone());
                     continue;
                 }
-                Health::Unknown if walk.fresh + walk.warming >= at_once => continue,
+                Health::Unknown if scan.fresh + scan.warming >= at_once => continue,
                 Health::Unknown => {
-                    contact.opening(now);
-                    walk.warming += 1;
+                    contact.link_requested(now);
+                    scan.warming += 1;
                     if let Some(peer) = self.peers.get(name) {
                         actions.push(Action::Open(name.clone(), peer.address));
                     }
@@ -435,84 +440,88 @@
             }
             kept.insert(name.clone());
         }
-        walk
+        scan
     }
 
-    /// Returns how long an entry that knows no configuration waits for its sources.
+    /// Returns how long an entry without a configuration waits for its sources.
     fn start_wait(&self) -> Span {
         let near = self.ranked.get(&self.own.hall).map_or(0, Vec::len) as u64;
-        START_WAIT + Span::from_micros(START_WAIT_EACH.micros() * near)
+        START_WAIT + Span::from_micros(START_WAIT_PER_ENTRY.micros() * near)
     }
 
-    /// Returns the times by which sources are judged now: while all entries start, sources that
-    /// have read the store hand all tables to everybody.
-    fn bounds_now(&self) -> Timeouts {
-        match self.informed {
-            true => self.bounds,
+    /// Returns the time limits that apply now. While all entries start, sources that have read the
+    /// store serve all tables to every entry, so that the warm-up takes longer.
+    fn current_timeouts(&self) -> Timeouts {
+        match self.configured {
+            true => self.timeouts,
             false => Timeouts {
-                warmup: self.bounds.warmup.max(self.start_wait()),
-                ..self.bounds
+                warmup: self.timeouts.warmup.max(self.start_wait()),
+                ..self.timeouts
             },
         }
     }
 
-    /// Returns what is to be read of the store after a walk through the data halls.
-    fn wanted(&mut self, walk: &Walk, now: Time) -> Subscription {
-        // A reader may hear nothing of a change for longer than is allowed; one of another
-        // data hall tells it then. Where there is none, a second one reads here.
-        let is_covered = walk.near > 0 && self.ranked.len() > 1;
-        let must = walk.own || self.asked;
+    /// Returns what to read of the store after a scan of the data halls.
+    fn choose(&mut self, scan: &Scan, now: Time) -> Subscription {
+        // A reader may miss a change for longer than is allowed; a source in another data hall
+        // reports it then. If there is no other data hall, a second entry of this one reads the
+        // store.
+        let is_covered = scan.near > 0 && self.ranked.len() > 1;
+        let must = scan.own || self.requested;
         if must && !is_covered {
-            self.bare = None;
-            self.needed = Some(now);
+            self.sourceless_since = None;
+            self.needed_at = Some(now);
             return Subscription::All;
         }
-        if walk.fresh > 0 {
-            self.bare = None;
-            let lingers = self.needed.is_some_and(|at| now.since(at) < LINGER);
-            return match (self.reading, lingers) {
+        if scan.fresh > 0 {
+            self.sourceless_since = None;
+            let lingers = self.needed_at.is_some_and(|at| now.since(at) < LINGER);
+            return match (self.subscription, lingers) {
                 (Subscription::All, true) => Subscription::All,
                 _ => Subscription::Nothing,
             };
         }
-        if self.reading == Subscription::All {
+        if self.subscription == Subscription::All {
             return Subscription::All;
         }
-        if !self.informed {
-            let waited = self.began.map_or(Span::default(), |at| now.since(at));
-            return match waited >= self.start_wait() || walk.warming == 0 {
+        if !self.configured {
+            let waited = self.listed_at.map_or(Span::default(), |at| now.since(at));
+            return match waited >= self.start_wait() || scan.warming == 0 {
                 true => Subscription::All,
                 false => Subscription::Nothing,
             };
         }
-        // The next in rank have the time of one attempt; those after them would take it too
-        // long, one after the other.
-        let bare = *self.bare.get_or_insert(now);
-        let hopes = walk.warming > 0 && now.since(bare) < self.bounds.warmup;
-        if hopes && self.reading == Subscription::Nothing {
+        // The next entries in rank get the time of one attempt. The attempts at those after them,
+        // one after the other, would take too long.
+        let sourceless_since = *self.sourceless_since.get_or_insert(now);
+        let is_warming = scan.warming > 0 && now.since(sourceless_since) < self.timeouts.warmup;
+        if is_warming && self.subscription == Subscription::Nothing {
             return Subscription::Nothing;
         }
-        // Where the store answers at once, only the sources are in trouble.
-        let settle = match self.missed {
+        // If the store has answered at once, only the sources have failed.
+        let settle = match self.has_failed {
             true => SETTLE,
             false => Span::default(),
         };
-        match self.settling.is_some_and(|at| now.since(at) >= settle) {
+        match self
+            .answering_since
+            .is_some_and(|at| now.since(at) >= settle)
+        {
             true => Subscription::All,
             false => Subscription::Operator,
         }
     }
 }
 
-/// What was found on the way through data halls.
+/// The result of a scan of data halls.
 #[derive(Clone, Copy, Debug, Default)]
-struct Walk {
-    /// The sources that are new enough.
+struct Scan {
+    /// The number of fresh sources.
     fresh: usize,
-    /// Those among them in the own data hall that rank before this entry.
+    /// The number of those in the own data hall that rank before this entry.
     near: usize,
-    /// The sources that may become so.
+    /// The number of sources that may become fresh.
     warming: usize,
-    /// Whether this entry itself ranks among those that read.
+    /// Whether this entry itself ranks among those that read the store.
     own: bool,
 }
--- a/crates/core/src/replication/rank.rs
+++ b/crates/core/src/replication/rank.rs
@@ -1,4 +1,4 @@
-//! In which order the entries of a data hall read the store.
+//! The order in which the entries of a data hall read the store.
 
 use crate::id::{Hall, InstanceId};
 use crate::tree::hash_key;
@@ -6,28 +6,28 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The part of the strongest instance's processor and link that an instance must have to
-/// be asked before the weaker ones: on an installation whose instances have 0.09 to 0.5
-/// cores, a reader of 0.09 cores would spend a tenth of them on handing tables down.
-const STRONG: f64 = 0.5;
+/// The fraction of the strongest instance's processor share and link rate that an instance needs to
+/// rank before the weaker ones. On an installation whose instances have 0.09 to 0.5 cores, a reader
+/// with 0.09 cores would spend a tenth of them on serving tables to other entries.
+const MIN_STRENGTH: f64 = 0.5;
 
 /// An entry as it announces itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The name of the entry.
     pub name: InstanceId,
-    /// Its data hall.
+    /// The data hall of the entry.
     pub hall: Hall,
-    /// Where it takes links.
+    /// The address at which it accepts links.
     pub address: SocketAddr,
     /// Its share of processors, in cores.
     pub cores: f64,
-    /// What its link carries, in Mbit/s.
+    /// The rate of its link, in Mbit/s.
     pub mbps: f64,
 }
 
 impl Peer {
-    /// Creates an entry that tells nothing of its strength.
+    /// Creates a peer that does not report its capacity.
     pub fn new(name: InstanceId, hall: Hall, address: SocketAddr) -> Peer {
         Peer {
             name,
@@ -39,8 +39,8 @@
     }
 }
 
-/// Returns the names of each data hall in the order of their rank: the strong ones first,
-/// in the order of a hash, so that the load falls on others in each data hall.
+/// Returns the names of the entries of each data hall in the order of their rank: the strong ones
+/// first, ordered by a hash, so that the load falls on different entries in each data hall.
 pub(super) fn by_hall<'a>(
     peers: impl Iterator<Item = &'a Peer>,
 ) -> BTreeMap<Hall, Vec<InstanceId>> {
@@ -55,7 +55,7 @@
 fn order(peers: Vec<&Peer>) -> Vec<InstanceId> {
     let cores = peers.iter().map(|p| p.cores).fold(0.0, f64::max);
     let mbps = peers.iter().map(|p| p.mbps).fold(0.0, f64::max);
-    let weak = |p: &Peer| p.cores < cores * STRONG || p.mbps < mbps * STRONG;
+    let weak = |p: &Peer| p.cores < cores * MIN_STRENGTH || p.mbps < mbps * MIN_STRENGTH;
     let mut keyed: Vec<(bool, String, &Peer)> = peers
         .into_iter()
         .map(|p| (weak(p), hash_key(p.name.as_str()), p))
--- a/crates/core/src/replication/watermark.rs
+++ b/crates/core/src/replication/watermark.rs
@@ -1,9 +1,8 @@
-//! Up to which version of the store all of its changes are known.
+//! Tracks up to which version of the store all changes are known.
 //!
-//! Every answer of the store names its newest version, whichever table was asked for. A
-//! version that was named and whose change is known of no table is missing: a wait that
-//! ought to have told of it heard nothing. That another table is answered for says nothing
-//! about such a wait, and it may last for 20 s.
+//! Every answer of the store names its newest version, whichever table was requested. A version
+//! whose change is not known of any table is missing: a long poll that should have returned it did
+//! not. An answer for another table says nothing about that long poll, which may last for 20 s.
 //!
 //! ```
 //! use sorreldeck::replication::Watermark;
@@ -14,38 +13,39 @@
 //! watermark.advance(1, 7, []);
 //! watermark.advance(0, 8, [8]);
 //! watermark.observe(9, Time(0));
-//! let patience = Span::from_micros(10);
-//! assert!(watermark.lagging(Time(9), patience).is_empty());
-//! assert_eq!(watermark.lagging(Time(10), patience), [0, 1]);
+//! let timeout = Span::from_micros(10);
+//! assert!(watermark.lagging(Time(9), timeout).is_empty());
+//! assert_eq!(watermark.lagging(Time(10), timeout), [0, 1]);
 //! watermark.advance(1, 9, [9]);
-//! assert!(watermark.lagging(Time(10), patience).is_empty());
+//! assert!(watermark.lagging(Time(10), timeout).is_empty());
 //! ```
 
 use crate::unit::{Span, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// The most versions that are remembered above the first that is missing. Beyond them
-/// all tables are asked, which costs a call for each.
-const MOST: usize = 1_024;
-/// The most versions that wait to be known: one for each answer, of which two or three
-/// come in the time that a change may take.
-const MOST_NAMED: usize = 64;
+/// The most versions that are kept above the first missing one. Beyond them all tables are
+/// requested again, which costs one call for each.
+const MAX_AHEAD: usize = 1_024;
+/// The most reported versions that wait for their change: one for each answer, of which two or
+/// three arrive in the time that a change may take.
+const MAX_REPORTED: usize = 64;
 
-/// What is known of the versions of the store.
+/// The known versions of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Watermark {
     /// The version up to which each table is known.
     tables: Vec<u64>,
-    /// The version up to which every change is known, of whichever table.
+    /// The version up to which the changes of all tables are known.
     covered: u64,
-    /// The versions above that whose changes are known.
-    beyond: BTreeSet<u64>,
-    /// The versions above it that the store named, with the time, the lowest first.
-    named: VecDeque<(u64, Time)>,
+    /// The versions above `covered` whose changes are known.
+    ahead: BTreeSet<u64>,
+    /// The versions above `covered` that the store reported, with the time of the report, the
+    /// lowest first.
+    reported: VecDeque<(u64, Time)>,
 }
 
 impl Watermark {
-    /// Creates the state of a process that knows nothing of a number of tables.
+    /// Creates the watermark of a process that knows none of its tables yet.
     pub fn new(tables: usize) -> Watermark {
         Watermark {
             tables: vec![0; tables],
@@ -53,43 +53,47 @@
         }
     }
 
-    /// Notes that a table is known up to a version, and which versions changed it since.
+    /// Records that a table is known up to a version, and which versions changed it since.
     pub fn advance(&mut self, table: usize, version: u64, changes: impl IntoIterator<Item = u64>) {
         if let Some(known) = self.tables.get_mut(table) {
             *known = version.max(*known);
         }
-        self.beyond.extend(changes);
+        self.ahead.extend(changes);
         let all = self.tables.iter().min().copied();
         self.covered = self.covered.max(all.unwrap_or(0));
-        // A row that changed twice shows its later version alone: such gaps end when all
-        // tables have been answered for.
-        while self.beyond.remove(&(self.covered + 1)) {
+        // A row that changed twice shows only its later version. Such a gap closes when all tables
+        // have been answered.
+        while self.ahead.remove(&(self.covered + 1)) {
             self.covered += 1;
         }
-        self.beyond = self.beyond.split_off(&(self.covered + 1));
-        if self.beyond.len() > MOST {
-            self.beyond.clear();
+        self.ahead = self.ahead.split_off(&(self.covered + 1));
+        if self.ahead.len() > MAX_AHEAD {
+            self.ahead.clear();
         }
-        while self.named.front().is_some_and(|(v, _)| *v <= self.covered) {
-            self.named.pop_front();
+        while self
+            .reported
+            .front()
+            .is_some_and(|(v, _)| *v <= self.covered)
+        {
+            self.reported.pop_front();
         }
     }
 
-    /// Notes that the store named its newest version.
+    /// Records the newest version that the store reported.
     pub fn observe(&mut self, version: u64, now: Time) {
-        let newest = self.named.back().map_or(self.covered, |(v, _)| *v);
-        if version > newest && self.named.len() < MOST_NAMED {
-            self.named.push_back((version, now));
+        let newest = self.reported.back().map_or(self.covered, |(v, _)| *v);
+        if version > newest && self.reported.len() < MAX_REPORTED {
+            self.reported.push_back((version, now));
         }
     }
 
-    /// Returns the tables that must be asked anew: those not known up to a version that was
-    /// named that long ago and is not covered.
-    pub fn lagging(&self, now: Time, patience: Span) -> Vec<usize> {
-        let Some((version, since)) = self.named.front() else {
+    /// Returns the tables that must be requested again: those that are not known up to a version
+    /// that was reported at least `timeout` ago and is not covered.
+    pub fn lagging(&self, now: Time, timeout: Span) -> Vec<usize> {
+        let Some((version, since)) = self.reported.front() else {
             return Vec::new();
         };
-        if now.since(*since) < patience {
+        if now.since(*since) < timeout {
             return Vec::new();
         }
         let tables = self.tables.iter().enumerate();
