--- a/crates/core/src/notice/mod.rs
+++ b/crates/core/src/notice/mod.rs
@@ -1,9 +1,9 @@
-//! What upstreams say of themselves in their answers, and what follows from it.
+//! Notices that upstreams give about themselves in their answers.
 //!
-//! An upstream that leaves, wants no requests for a while or takes only so many a second
-//! says so itself, in whatever it answers. That is newer than its row in the platform's store,
-//! and comes while the store is away. Here it lies with its age and its end, and
-//! [`Peers`](crate::pick::Peers), which gives out all work, asks here.
+//! An upstream that leaves, asks for a pause or limits its request rate says so in any of its
+//! answers. A notice is newer than the upstream's row in the platform's store, and it arrives while
+//! the store is out of reach. This module keeps the notices with their age and expiry;
+//! [`Peers`](crate::pick::Peers), which assigns all work, consults it.
 //!
 //! ```
 //! use sorreldeck::notice::{Notice, Registry};
@@ -27,44 +27,44 @@
 use crate::unit::{Rate, Span};
 use serde::{Deserialize, Serialize};
 
-/// What an upstream says of itself in one answer.
+/// The notice in one answer of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// Whether it takes no new requests any more.
+    /// Whether it accepts no new requests any more.
     pub leaving: bool,
-    /// For how long it wants no requests of the entry that it answers.
+    /// For how long it accepts no requests of the entry that it answers.
     pub pause: Option<Span>,
-    /// The requests that it takes of all entries together.
+    /// The request rate that it accepts of all entries together.
     pub limit: Option<Rate>,
-    /// How long work takes there at the moment.
+    /// How long its work takes at the moment.
     pub pace: Option<Pace>,
 }
 
-/// A change of what holds of an upstream.
+/// A change in the state of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// It takes no new requests any more.
+    /// It accepts no new requests any more.
     Leaving,
-    /// It wants no requests for this long of the entry that it has answered.
+    /// It accepts no requests for this long of the entry that it has answered.
     #[serde(rename = "Resting")]
     Paused(Span),
-    /// It takes only so many requests a second from all entries.
+    /// It limits the request rate of all entries together.
     Limited(Rate),
-    /// It takes what it gets again.
+    /// It does not limit the request rate any more.
     Unlimited,
 }
 
-/// What entries tell one another of an upstream, which a number stands for.
+/// A change in the state of an upstream, as one entry reports it to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// The number of the upstream.
+    /// The number that stands for one start of the upstream.
     pub upstream: u64,
-    /// What has changed.
+    /// The change in its state.
     pub change: Change,
 }
 
 impl Notice {
-    /// Returns whether the answer says nothing of the upstream.
+    /// Returns whether the answer contains no notice.
     pub fn is_empty(&self) -> bool {
         *self == Notice::default()
     }
--- a/crates/core/src/notice/registry.rs
+++ b/crates/core/src/notice/registry.rs
@@ -1,4 +1,4 @@
-//! What all upstreams have said of themselves, and what holds of it.
+//! The state of all upstreams that follows from their notices.
 
 use super::limit::Limit;
 use super::{Change, Notice, Update};
@@ -6,32 +6,33 @@
 use crate::warmup::Entries;
 use std::collections::HashMap;
 
-/// The most upstreams that are remembered; those that were heard last stay.
-const MOST: usize = 8_192;
+/// The most upstreams that are kept; those with the latest notices stay.
+const MAX_UPSTREAMS: usize = 8_192;
 
-/// What is known of one upstream.
+/// The state of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
-    heard: Time,
-    /// Since when it is known to leave; nothing undoes that.
+struct State {
+    updated_at: Time,
+    /// Since when it is known to leave; nothing resets this.
     leaving: Option<Time>,
-    /// Until when it wants no requests of this entry.
-    rests_until: Time,
+    /// Until when it accepts no requests of this entry.
+    paused_until: Time,
     limit: Option<Limit>,
 }
 
-/// What upstreams have said of themselves.
+/// The notices of upstreams.
 ///
-/// An upstream is known by a number that stands for one start of it, so what was heard outlasts
-/// its row in the platform's store, and does not outlast the upstream.
+/// An upstream is identified by a number that stands for one start of it. Its state therefore
+/// outlasts its row in the platform's store, but not the upstream itself.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    known: HashMap<u64, Known>,
-    words: Vec<Update>,
+    states: HashMap<u64, State>,
+    updates: Vec<Update>,
 }
 
 impl Registry {
-    /// Takes in what an upstream says in the answer to a request sent then.
+    /// Processes the notice in the answer to a request that was sent at `asked`; returns what
+    /// changed.
     pub fn observe(
         &mut self,
         upstream: u64,
@@ -40,174 +41,180 @@
         entries: &Entries,
         now: Time,
     ) -> Vec<Change> {
-        let known = self.entry(upstream, now);
-        let leaving = notice.leaving && known.leaving.is_none();
+        let state = self.state_mut(upstream, now);
+        let leaving = notice.leaving && state.leaving.is_none();
         if leaving {
-            known.leaving = Some(now);
+            state.leaving = Some(now);
         }
         let leaving = leaving.then_some(Change::Leaving);
-        let rest = notice.pause.and_then(|rest| known.hear_rest(rest, now));
-        let limit = known.hear_limit(upstream, notice.limit, asked, entries, now);
-        let changes: Vec<Change> = [leaving, rest, limit].into_iter().flatten().collect();
-        let words = changes.iter().copied();
-        self.words
-            .extend(words.map(|change| Update { upstream, change }));
+        let pause = notice
+            .pause
+            .and_then(|pause| state.extend_pause(pause, now));
+        let limit = state.observe_limit(upstream, notice.limit, asked, entries, now);
+        let changes: Vec<Change> = [leaving, pause, limit].into_iter().flatten().collect();
+        let updates = changes.iter().copied();
+        self.updates
+            .extend(updates.map(|change| Update { upstream, change }));
         changes
     }
 
-    /// Takes in what another entry tells.
-    pub fn merge(&mut self, word: Update, entries: &Entries, now: Time) -> Option<Change> {
-        let upstream = word.upstream;
-        match word.change {
+    /// Processes an update of another entry; returns what changed.
+    pub fn merge(&mut self, update: Update, entries: &Entries, now: Time) -> Option<Change> {
+        let upstream = update.upstream;
+        match update.change {
             Change::Leaving => {
-                let known = self.entry(upstream, now);
-                let is_news = known.leaving.is_none();
-                known.leaving.get_or_insert(now);
-                is_news.then_some(Change::Leaving)
+                let state = self.state_mut(upstream, now);
+                let is_new = state.leaving.is_none();
+                state.leaving.get_or_insert(now);
+                is_new.then_some(Change::Leaving)
             }
-            // Each entry is asked for rest by itself.
+            // An upstream asks each entry for a pause separately.
             Change::Paused(_) => None,
             Change::Limited(rate) => {
-                let known = self.entry(upstream, now);
-                let Some(limit) = &mut known.limit else {
-                    known.limit = Some(Limit::new(upstream, rate, true, entries, now));
+                let state = self.state_mut(upstream, now);
+                let Some(limit) = &mut state.limit else {
+                    state.limit = Some(Limit::new(upstream, rate, true, entries, now));
                     return Some(Change::Limited(rate));
                 };
-                let differs = limit.change(upstream, rate, entries, now);
-                limit.is_told(rate);
+                let differs = limit.update(upstream, rate, entries, now);
+                limit.mark_reported(rate);
                 differs.then_some(Change::Limited(rate))
             }
             Change::Unlimited => {
-                let known = self.known.get_mut(&upstream)?;
-                known.limit.take().map(|_| Change::Unlimited)
+                let state = self.states.get_mut(&upstream)?;
+                state.limit.take().map(|_| Change::Unlimited)
             }
         }
     }
 
-    /// Returns whether an upstream has said anything of itself.
+    /// Returns whether any notice of an upstream is known.
     pub fn contains(&self, upstream: u64) -> bool {
-        self.known.contains_key(&upstream)
+        self.states.contains_key(&upstream)
     }
 
-    /// Forgets what an upstream has said.
+    /// Removes the state of an upstream.
     pub fn remove(&mut self, upstream: u64) {
-        self.known.remove(&upstream);
+        self.states.remove(&upstream);
     }
 
-    /// Returns what other entries are to be told.
+    /// Returns the updates for other entries since the last call.
     pub fn take_updates(&mut self) -> Vec<Update> {
-        std::mem::take(&mut self.words)
+        std::mem::take(&mut self.updates)
     }
 
-    /// Notes a request sent to an upstream.
+    /// Records a request sent to an upstream.
     pub fn record_request(&mut self, upstream: u64, now: Time) {
-        let known = self.known.get_mut(&upstream);
-        if let Some(limit) = known.and_then(|known| known.limit.as_mut()) {
-            limit.sent(now);
+        let state = self.states.get_mut(&upstream);
+        if let Some(limit) = state.and_then(|state| state.limit.as_mut()) {
+            limit.record_request(now);
         }
     }
 
-    /// Takes in which entries share the rates.
+    /// Sets the entries that share the rates.
     pub fn set_entries(&mut self, entries: &Entries, now: Time) {
-        for (upstream, known) in &mut self.known {
-            if let Some(limit) = &mut known.limit {
-                limit.share(*upstream, entries, now);
+        for (upstream, state) in &mut self.states {
+            if let Some(limit) = &mut state.limit {
+                limit.rebalance(*upstream, entries, now);
             }
         }
     }
 
-    /// Returns since when an upstream is known to leave, if it does.
+    /// Returns since when an upstream is known to leave, or `None` if it is not.
     pub fn leaving_since(&self, upstream: u64) -> Option<Time> {
-        self.known.get(&upstream)?.leaving
+        self.states.get(&upstream)?.leaving
     }
 
-    /// Returns until when an upstream wants no requests of this entry, or a time that has passed.
+    /// Returns until when an upstream accepts no requests of this entry, or a time that has passed.
     pub fn paused_until(&self, upstream: u64) -> Time {
-        let known = self.known.get(&upstream);
-        known.map_or(Time::default(), |known| known.rests_until)
+        let state = self.states.get(&upstream);
+        state.map_or(Time::default(), |state| state.paused_until)
     }
 
-    /// Returns from when on this entry may send an upstream a request, as far as it has said.
+    /// Returns the earliest time at which this entry may send an upstream a request, as far as its
+    /// notices say.
     pub fn available_at(&self, upstream: u64) -> Time {
-        let Some(known) = self.known.get(&upstream) else {
+        let Some(state) = self.states.get(&upstream) else {
             return Time::default();
         };
-        let paced = known.limit.as_ref().map_or(Time::default(), Limit::opens);
-        paced.max(known.rests_until)
+        let paced = state
+            .limit
+            .as_ref()
+            .map_or(Time::default(), Limit::available_at);
+        paced.max(state.paused_until)
     }
 
-    /// Returns whether the next request is to go to an upstream, wherever else it would go, since
-    /// the rate that it named may not hold any more.
+    /// Returns whether the next request should go to an upstream in preference to all others,
+    /// because the rate that it named may not hold any more.
     pub fn wants_probe(&self, upstream: u64, now: Time) -> bool {
-        let limit = self.known.get(&upstream).and_then(|known| known.limit);
-        limit.is_some_and(|limit| limit.wants_trial(now))
+        let limit = self.states.get(&upstream).and_then(|state| state.limit);
+        limit.is_some_and(|limit| limit.wants_probe(now))
     }
 
-    /// Returns whether an upstream takes only so many requests a second from all entries.
+    /// Returns whether an upstream limits the request rate of all entries together.
     pub fn is_limited(&self, upstream: u64) -> bool {
-        let known = self.known.get(&upstream);
-        known.is_some_and(|known| known.limit.is_some())
+        let state = self.states.get(&upstream);
+        state.is_some_and(|state| state.limit.is_some())
     }
 
-    /// Returns the rate that an upstream takes from all entries, if it names one, and when it, or
-    /// another entry, said so last.
+    /// Returns the request rate that an upstream accepts of all entries together, if it names one,
+    /// and when it or another entry last reported it.
     pub fn limit(&self, upstream: u64) -> Option<(Rate, Time)> {
-        let limit = self.known.get(&upstream)?.limit?;
-        Some((limit.rate(), limit.heard_at()))
+        let limit = self.states.get(&upstream)?.limit?;
+        Some((limit.rate(), limit.reported_at()))
     }
 
-    fn entry(&mut self, upstream: u64, now: Time) -> &mut Known {
-        if self.known.len() >= MOST && !self.known.contains_key(&upstream) {
+    fn state_mut(&mut self, upstream: u64, now: Time) -> &mut State {
+        if self.states.len() >= MAX_UPSTREAMS && !self.states.contains_key(&upstream) {
             self.forget_oldest();
         }
-        let known = self.known.entry(upstream).or_default();
-        known.heard = now;
-        known
+        let state = self.states.entry(upstream).or_default();
+        state.updated_at = now;
+        state
     }
 
-    /// Forgets the half that was heard longest ago.
+    /// Removes the half with the oldest notices.
     fn forget_oldest(&mut self) {
-        let heard = self
-            .known
+        let by_age = self
+            .states
             .iter()
-            .map(|(upstream, known)| (known.heard, *upstream));
-        let mut heard: Vec<(Time, u64)> = heard.collect();
-        let half = heard.len() / 2;
-        heard.select_nth_unstable(half);
-        for (_, upstream) in &heard[..half] {
-            self.known.remove(upstream);
+            .map(|(upstream, state)| (state.updated_at, *upstream));
+        let mut by_age: Vec<(Time, u64)> = by_age.collect();
+        let half = by_age.len() / 2;
+        by_age.select_nth_unstable(half);
+        for (_, upstream) in &by_age[..half] {
+            self.states.remove(upstream);
         }
     }
 }
 
-impl Known {
-    /// Takes in for how long it wants no requests of this entry. What is asked for last does not
-    /// shorten what was asked for before: refusals may overtake one another.
-    fn hear_rest(&mut self, rest: Span, now: Time) -> Option<Change> {
-        let was_resting = now < self.rests_until;
-        self.rests_until = self.rests_until.max(now + rest);
-        (!was_resting).then_some(Change::Paused(rest))
+impl State {
+    /// Extends the pause to the one that was just requested. A shorter one does not shorten it,
+    /// because refusals may arrive out of order.
+    fn extend_pause(&mut self, pause: Span, now: Time) -> Option<Change> {
+        let was_paused = now < self.paused_until;
+        self.paused_until = self.paused_until.max(now + pause);
+        (!was_paused).then_some(Change::Paused(pause))
     }
 
-    /// Takes in the rate that an answer to a request sent then names, or that it names none.
-    fn hear_limit(
+    /// Processes the rate, or its absence, in the answer to a request that was sent at `asked`.
+    fn observe_limit(
         &mut self,
         upstream: u64,
-        named: Option<Rate>,
+        rate: Option<Rate>,
         asked: Time,
         entries: &Entries,
         now: Time,
     ) -> Option<Change> {
-        match (named, &mut self.limit) {
+        match (rate, &mut self.limit) {
             (Some(rate), None) => {
                 self.limit = Some(Limit::new(upstream, rate, false, entries, now));
                 Some(Change::Limited(rate))
             }
             (Some(rate), Some(limit)) => {
-                let differs = limit.change(upstream, rate, entries, now);
+                let differs = limit.update(upstream, rate, entries, now);
                 differs.then_some(Change::Limited(rate))
             }
-            (None, Some(limit)) if limit.ends_by(asked) => {
+            (None, Some(limit)) if limit.is_ended_by(asked) => {
                 self.limit = None;
                 Some(Change::Unlimited)
             }
