--- a/crates/core/src/quarantine/fingerprint.rs
+++ b/crates/core/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! By what a request is known when it comes again.
+//! Identifies a request by its content, so that a repetition is recognised.
 //!
 //! ```
 //! use sorreldeck::quarantine::Fingerprint;
@@ -16,17 +16,18 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// What a request asks and for whom, without what names the single try.
+/// A digest of what a request asks and for which client account, without the data that identifies a
+/// single attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// Returns the fingerprint of parts that belong together in this order.
+    /// Computes the fingerprint of parts in this order.
     pub fn of(parts: &[&[u8]]) -> Fingerprint {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
-            // The length keeps what ends one part from beginning the next.
+            // The length keeps the end of one part from counting as the start of the next.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -46,7 +47,7 @@
     fn from_str(s: &str) -> Result<Self> {
         let number = u64::from_str_radix(s, 16).ok().filter(|_| s.len() == 16);
         number.map(Fingerprint).ok_or_else(|| {
-            let message = format!("{s:?} is no fingerprint: 16 hexadecimal digits");
+            let message = format!("invalid fingerprint {s:?}: expected 16 hexadecimal digits");
             Error::new(Category::Invalid, message)
         })
     }
--- a/crates/core/src/quarantine/hold.rs
+++ b/crates/core/src/quarantine/hold.rs
@@ -1,41 +1,42 @@
-//! For how long requests are held back.
+//! How long requests are held back.
 
 use super::{Admission, Fingerprint};
 use crate::unit::{Span, Time};
 use std::collections::BTreeMap;
 
-/// How long a request is held back, the first time and later ones. After that the entry whose
-/// record stands tries it once: that costs an upstream, which is back after some seconds, and
-/// frees what was held back wrongly. Nothing is held back for ever.
-const SPANS: [Span; 3] = [
+/// How long a request is held back the first time and later ones. After that, the entry that owns
+/// the record tries the request once. A trial costs at most an upstream, which is back after some
+/// seconds, and it frees requests that were held back wrongly. No request is held back for ever.
+const HOLD_TIMES: [Span; 3] = [
     Span::from_millis(10_000),
     Span::from_millis(120_000),
     Span::from_millis(600_000),
 ];
-const LONGEST: Span = SPANS[2];
-/// How much longer the other entries hold a request back: one trial tells them all. Where
-/// nothing is recorded, or the entry of the record is gone, they try it then.
-const OTHERS: Span = Span::from_millis(60_000);
-/// The most requests held back or on trial; the one whose time ends first gives way.
-const MOST: usize = 512;
+const MAX_HOLD: Span = HOLD_TIMES[2];
+/// How much longer the other entries hold a request back: they all learn the result of one trial.
+/// If there is no record, or the entry that owns it is gone, they try the request then.
+const TRIAL_MARGIN: Span = Span::from_millis(60_000);
+/// The most requests that are held back or on trial; beyond them the one whose time ends first is
+/// removed.
+const MAX_HOLDS: usize = 512;
 
-/// For how long a request is held back, and how often it was before.
+/// How long a request is held back, and how often it was before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// Until when.
+    /// When the hold ends.
     pub until: Time,
-    /// How often it was held back before; each time lasts longer.
+    /// How often the request was held back before; each time lasts longer.
     pub previous: u32,
-    /// Whether it is this entry's record, so that it is tried here first.
+    /// Whether this entry owns the record, so that the request is tried here first.
     pub is_own: bool,
 }
 
 impl Hold {
-    /// Returns until when the request gets no upstream here.
-    fn lasts(&self) -> Time {
+    /// Returns until when this entry sends the request to no upstream.
+    fn local_end(&self) -> Time {
         match self.is_own {
             true => self.until,
-            false => self.until + OTHERS,
+            false => self.until + TRIAL_MARGIN,
         }
     }
 }
@@ -45,34 +46,37 @@
 pub struct Holds(BTreeMap<Fingerprint, Hold>);
 
 impl Holds {
-    /// Returns whether a request may get an upstream.
+    /// Returns whether a request may be sent to an upstream.
     pub fn admits(&self, fingerprint: Fingerprint, now: Time) -> Admission {
         match self.0.get(&fingerprint) {
             None => Admission::Allowed,
-            Some(hold) if now < hold.lasts() => Admission::Held(hold.lasts().since(now)),
+            Some(hold) if now < hold.local_end() => Admission::Held(hold.local_end().since(now)),
             Some(_) => Admission::Trial,
         }
     }
 
-    /// Returns whether a request that is on trial was not held back any more at a time.
+    /// Returns whether the hold of a request that is on trial had ended at a time.
     pub fn ended_by(&self, fingerprint: Fingerprint, at: Time) -> bool {
         self.0
             .get(&fingerprint)
             .is_some_and(|hold| at >= hold.until)
     }
 
-    /// Returns how many are held back.
+    /// Returns how many requests are held back.
     pub fn count(&self, now: Time) -> usize {
-        self.0.values().filter(|hold| now < hold.lasts()).count()
+        self.0
+            .values()
+            .filter(|hold| now < hold.local_end())
+            .count()
     }
 
     /// Holds a request back from now on.
     pub fn hold(&mut self, fingerprint: Fingerprint, now: Time) -> Hold {
         let known = self.0.get(&fingerprint);
         let before = known.map_or(0, |hold| hold.previous + 1);
-        let last = SPANS.len() - 1;
+        let last = HOLD_TIMES.len() - 1;
         let hold = Hold {
-            until: now + SPANS[last.min(before as usize)],
+            until: now + HOLD_TIMES[last.min(before as usize)],
             previous: before,
             is_own: known.is_some_and(|hold| hold.is_own),
         };
@@ -80,31 +84,31 @@
         hold
     }
 
-    /// Takes in what is recorded; returns whether that is news.
-    pub fn put(&mut self, fingerprint: Fingerprint, hold: Hold, now: Time) -> bool {
+    /// Applies a recorded hold; returns whether it holds the request back anew.
+    pub fn restore(&mut self, fingerprint: Fingerprint, hold: Hold, now: Time) -> bool {
         let known = self.0.get(&fingerprint);
         if known.is_some_and(|known| known.previous > hold.previous) {
-            // What was found out here since then goes on its way to the record.
+            // The later hold of this entry is still to be recorded.
             return false;
         }
-        let is_news = !matches!(self.admits(fingerprint, now), Admission::Held(_));
-        // A clock that is far off must not hold anything back for longer than the longest.
-        let until = hold.until.min(now + LONGEST);
+        let is_new = !matches!(self.admits(fingerprint, now), Admission::Held(_));
+        // A clock that is far off must not make a hold longer than the longest.
+        let until = hold.until.min(now + MAX_HOLD);
         let hold = Hold { until, ..hold };
         self.insert(fingerprint, hold, now);
-        is_news && now < hold.lasts()
+        is_new && now < hold.local_end()
     }
 
-    /// Forgets a request; returns whether it was held back or on trial.
+    /// Removes a request; returns whether it was held back or on trial.
     pub fn remove(&mut self, fingerprint: Fingerprint) -> bool {
         self.0.remove(&fingerprint).is_some()
     }
 
     fn insert(&mut self, fingerprint: Fingerprint, hold: Hold, now: Time) {
         self.0.insert(fingerprint, hold);
-        // What nobody asked for in so long a time is forgotten.
-        self.0.retain(|_, hold| now.since(hold.until) < LONGEST);
-        if self.0.len() > MOST {
+        // Requests that were not repeated for this long are forgotten.
+        self.0.retain(|_, hold| now.since(hold.until) < MAX_HOLD);
+        if self.0.len() > MAX_HOLDS {
             let first = self.0.iter().min_by_key(|(_, hold)| hold.until);
             if let Some(first) = first.map(|(fingerprint, _)| *fingerprint) {
                 self.0.remove(&first);
