--- a/crates/core/src/release/mod.rs
+++ b/crates/core/src/release/mod.rs
@@ -1,17 +1,17 @@
-//! Which release of an upstream's software answers while one replaces another.
+//! Chooses the release of an upstream's software that answers while one replaces another.
 //!
-//! Upstreams of a pool may run different releases. An operator orders a move to
-//! a new one; until half of the given time has passed, only a small share of
-//! new sessions goes there and every session stays where it is. Near the end,
-//! unless the release was found bad, everything moves, and the move is recorded as
-//! completed when nothing runs on the old release any more. The sequential test
-//! of [`evidence`](crate::evidence) tells a bad release from a good one; what it
-//! cannot tell, because it fails only under a load that a trial does not bring, is
-//! bounded by moving so late that no more than a set share is exposed in the time.
+//! Upstreams of a pool may run different releases. An operator orders a move to a new one. Until
+//! half of the given time has passed, the new release gets only a small share of new sessions, and
+//! every session stays at its release. Near the end everything moves, unless the release was found
+//! bad, and the move is recorded as completed when nothing runs on the old release any more. The
+//! sequential test of [`evidence`](crate::evidence) separates bad releases from good ones. It
+//! cannot detect a release that fails only under a load that a trial does not produce; to bound the
+//! damage of those, everything moves so late that no more than a set share of the requests in the
+//! given time is exposed.
 //!
-//! All entries know the order and when it was first recorded, so each works out
-//! the phase by itself; what they must agree on is a row in the platform's
-//! store, which any of them may change under a condition.
+//! All entries know the order and when it was first recorded, so each computes the phase by itself.
+//! The state that they must agree on is a row in the platform's store, which any of them may change
+//! under a condition.
 //!
 //! ```
 //! use sorreldeck::release::{Order, Releases, State};
@@ -20,7 +20,8 @@
 //! let (old, new) = ("v1".parse()?, "v2".parse()?);
 //! let mut releases = Releases::default();
 //! let pool: sorreldeck::PoolId = "assistant".parse()?;
-//! let order = Order { pool: pool.clone(), to: new, duration: Span::from_millis(24_000), issued: 7.into() };
+//! let duration = Span::from_millis(24_000);
+//! let order = Order { pool: pool.clone(), to: new, duration, issued: 7.into() };
 //! releases.set_order(order, Some(State::Running), Some(Time(0)));
 //! let present = [(&old, 3)].into_iter().collect();
 //! assert_eq!(releases.choose(&pool, None, 0.99, Time(1), &present), Some(old.clone()));
@@ -37,69 +38,68 @@
 use crate::era::{Era, Stamp};
 use crate::id::{Hall, PoolId, RouteId, UpstreamId, VersionId};
 use crate::unit::{Share, Span, Time};
-use moving::{Move, Wanted};
+use moving::{Move, Side};
 use serde::{Deserialize, Serialize};
 use sessions::Sessions;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
-use tally::{Tally, Usual};
+use tally::{RunningMean, Tally};
 
-/// The share of a pool's requests that an unproven release may get over the time
-/// given, where the settings name none: that of both sites.
+/// The share of a pool's requests that an unproven release may get over the given time, if the
+/// settings name none. Both sites use it.
 pub const DEFAULT_EXPOSURE: Share = Share::percent(15);
-/// How many times the usual time between events makes a stream count as slow: a
-/// release that is eight times slower made events 2.6 times as far apart.
-const PACE_TIMES: f64 = 1.8;
-/// The events that a stream must have for its pace to tell anything.
-const PACED: u64 = 8;
-/// What was recorded of a move to a release.
+/// The multiple of the usual time between events from which on a stream counts as slow. Events of a
+/// release that was eight times slower were 2.6 times as far apart.
+const SLOW_PACE_FACTOR: f64 = 1.8;
+/// The events that a stream needs for its pace to be judged.
+const MIN_PACE_EVENTS: u64 = 8;
+/// The recorded state of a move to a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// The new release is on trial or is being moved to.
+    /// The new release is on trial, or requests are moving to it.
     Running,
     /// Everything moved to the new release; the old upstreams are stopped.
     Completed,
-    /// The new release was found bad; it gets no more work.
+    /// The new release was found bad; it gets no more requests.
     RolledBack,
 }
 
 /// An operator's order to move a pool to a release.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The pool.
+    /// The pool to move.
     pub pool: PoolId,
     /// The release to move to.
     pub to: VersionId,
-    /// The time given.
+    /// The time within which to move.
     pub duration: Span,
-    /// When the order was first written; a later order has a later one.
+    /// When the order was first written; a later order has a later stamp.
     pub issued: Stamp,
 }
 
-/// What an answer tells about the release that gave it.
+/// An observation of an answer and the release that gave it.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer<'a> {
-    /// The pool.
+    /// The pool of the upstream.
     pub pool: &'a PoolId,
-    /// The release.
+    /// The release of the upstream.
     pub release: &'a VersionId,
-    /// The upstream.
+    /// The upstream that answers.
     pub upstream: &'a UpstreamId,
-    /// The route, and the place of the model among its sizes.
+    /// The route, and the position of the model among its sizes.
     pub kind: (&'a RouteId, usize),
-    /// The time that its beginning ought to take: what is read and what waits differ
-    /// from one answer to the next, so that the same time may be slow for one and
-    /// usual for another.
+    /// The expected time to the first event. The lengths of prompts and queues differ between
+    /// answers, so the same time may be slow for one and usual for another.
     pub expected: Span,
-    /// When it was asked for.
+    /// When the request was sent.
     pub sent: Time,
-    /// When this was seen of it.
+    /// When the observation was made.
     pub seen: Time,
-    /// The time to its beginning, or `None` if it failed.
+    /// The time to the first event, or `None` if the answer failed.
     pub ttft: Option<Span>,
 }
 
-/// What one or several entries tell the others of a move.
+/// What one or several entries report to the others about a move.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The version at which the order was first written, and its era.
@@ -112,8 +112,8 @@
 }
 
 impl Report {
-    /// Adds what another entry found of the same order; what belongs to an earlier order
-    /// gives way to what belongs to a later one.
+    /// Adds what another entry reports about the same order. A report about a later order replaces
+    /// one about an earlier order.
     pub fn add(&mut self, other: &Report) {
         if other.order() > self.order() {
             self.clone_from(other);
@@ -124,21 +124,21 @@
         }
     }
 
-    /// Returns the number of the order.
+    /// Returns the stamp of the order.
     fn order(&self) -> Stamp {
         Stamp::new(self.era, self.number)
     }
 
-    /// Returns whether this was told later than another by the same entries: counts only
-    /// grow, but for those of an entry that starts anew.
+    /// Returns whether this report is later than another by the same entries: counts only grow,
+    /// except those of an entry that restarts.
     pub fn is_after(&self, other: &Report) -> bool {
         let answers = |r: &Report| r.old.answers + r.new.answers;
         (self.order(), answers(self)) > (other.order(), answers(other))
     }
 }
 
-/// What a move is judged by: how many answers of both releases all entries saw while they were
-/// compared, and how many of them failed and were slow.
+/// The counts by which a move is judged: the answers of both releases that all entries saw while
+/// the releases were compared, and how many of them failed or were slow.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Totals {
     old: Tally,
@@ -152,23 +152,23 @@
     }
 }
 
-/// Few upstreams of all that run a release on trial, the same at every entry.
+/// A subset of the upstreams that run a release on trial, the same at every entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Canary {
-    /// How many.
+    /// The number of upstreams in the subset.
     pub count: usize,
-    /// Which choice of them it is: each stage has others.
+    /// Selects the subset: each stage has another one.
     pub round: u64,
 }
 
-/// Which release of each pool answers.
+/// Chooses the release of each pool that answers.
 #[derive(Clone, Debug)]
 pub struct Releases {
     exposure: Share,
     moves: BTreeMap<PoolId, Move>,
-    settled: BTreeMap<PoolId, BTreeSet<VersionId>>,
-    usual: HashMap<(RouteId, usize), Usual>,
-    paces: HashMap<(RouteId, usize), Usual>,
+    baselines: BTreeMap<PoolId, BTreeSet<VersionId>>,
+    usual: HashMap<(RouteId, usize), RunningMean>,
+    paces: HashMap<(RouteId, usize), RunningMean>,
     sessions: Sessions,
 }
 
@@ -179,21 +179,20 @@
 }
 
 impl Releases {
-    /// Creates the releases of an installation where an unproven release may get
-    /// this share of the requests over the time given.
+    /// Creates the state of an installation where an unproven release may get this share of the
+    /// requests over the given time.
     pub fn new(exposure: Share) -> Releases {
         Releases {
             exposure,
             moves: BTreeMap::new(),
-            settled: BTreeMap::new(),
+            baselines: BTreeMap::new(),
             usual: HashMap::new(),
             paces: HashMap::new(),
             sessions: Sessions::default(),
         }
     }
 
-    /// Takes in an order and what was recorded of it, with the time at which
-    /// the first record was made, on this process's clock.
+    /// Sets an order, its recorded state, and the time of its first record on this process's clock.
     pub fn set_order(&mut self, order: Order, state: Option<State>, began: Option<Time>) {
         let known = self.moves.get(&order.pool);
         if known.is_some_and(|m| m.order.issued > order.issued) {
@@ -202,24 +201,25 @@
         let pool = order.pool.clone();
         if known.is_none_or(|m| m.order != order) {
             let fresh = Move::new(order, self.exposure);
-            let is_told = |session, release: &VersionId| fresh.draws(unit(session), release);
-            self.sessions.tell_all(&pool, is_told);
+            let is_drawn =
+                |session, release: &VersionId| fresh.draws(session_draw(session), release);
+            self.sessions.queue_matching(&pool, is_drawn);
             self.moves.insert(pool.clone(), fresh);
         }
         let Some(known) = self.moves.get_mut(&pool) else {
             return;
         };
-        known.note_state(state);
+        known.set_recorded(state);
         known.began = began.or(known.began);
         if known.state == Some(State::Completed) {
             let only = BTreeSet::from([known.order.to.clone()]);
-            self.settled.insert(pool, only);
+            self.baselines.insert(pool, only);
         }
     }
 
-    /// Notes the releases present when a pool is first seen: all but one that
-    /// is being moved to are taken for sound. Releases that come later without
-    /// an order get work only where nothing else is left.
+    /// Records the releases that are present when a pool is first seen. All of them count as sound
+    /// except one that is being moved to. Releases that appear later without an order get requests
+    /// only if no other is left.
     pub fn set_baseline<'a>(
         &mut self,
         pool: &PoolId,
@@ -230,19 +230,18 @@
         }
         let to = self.moves.get(pool).map(|m| &m.order.to);
         let sound = present.into_iter().filter(|v| Some(*v) != to).cloned();
-        self.settled.insert(pool.clone(), sound.collect());
+        self.baselines.insert(pool.clone(), sound.collect());
     }
 
-    /// Returns whether it is known which releases of a pool are sound.
+    /// Returns whether the sound releases of a pool are known.
     pub fn has_baseline(&self, pool: &PoolId) -> bool {
-        let known = self.settled.get(pool);
+        let known = self.baselines.get(pool);
         known.is_some_and(|known| !known.is_empty())
     }
 
-    /// Chooses the release that answers, of those present with the number of
-    /// their upstreams.
+    /// Chooses the release that answers, of those present with the number of their upstreams.
     ///
-    /// `draw` is a random number in `[0, 1)`, used where there is no session.
+    /// `draw` is a random number in `[0, 1)`, used if there is no session.
     pub fn choose(
         &mut self,
         pool: &PoolId,
@@ -251,37 +250,37 @@
         now: Time,
         present: &BTreeMap<&VersionId, usize>,
     ) -> Option<VersionId> {
-        let draw = session.map_or(draw, unit);
-        let kept = session.and_then(|s| self.sessions.get(s, now));
-        let wanted = match self.moves.get(pool) {
-            Some(moving) => moving.wanted(kept.map(|k| &k.release), draw, now, present),
-            None => Wanted::Old,
+        let draw = session.map_or(draw, session_draw);
+        let known = session.and_then(|s| self.sessions.get(s, now));
+        let side = match self.moves.get(pool) {
+            Some(moving) => moving.side(known.map(|k| &k.release), draw, now, present),
+            None => Side::Old,
         };
         let to = self.moves.get(pool).map(|m| &m.order.to);
         let is_new = |v: &VersionId| Some(v) == to;
-        if wanted == Wanted::New {
+        if side == Side::New {
             if let Some(to) = to.filter(|to| present.contains_key(to)) {
                 return Some(to.clone());
             }
         }
-        if let Some(kept) = kept.filter(|k| !is_new(&k.release)) {
-            if present.contains_key(&kept.release) {
-                return Some(kept.release.clone());
+        if let Some(known) = known.filter(|k| !is_new(&k.release)) {
+            if present.contains_key(&known.release) {
+                return Some(known.release.clone());
             }
         }
-        self.old(pool, draw, present)
+        self.choose_sound(pool, draw, present)
     }
 
-    /// Chooses among the releases that are not on trial, or takes what is left.
-    fn old(
+    /// Chooses among the releases that are not on trial, or among those that are left.
+    fn choose_sound(
         &self,
         pool: &PoolId,
         draw: f64,
         present: &BTreeMap<&VersionId, usize>,
     ) -> Option<VersionId> {
         let to = self.moves.get(pool).map(|m| &m.order.to);
-        let settled = self.settled.get(pool);
-        let sound = |v: &&&VersionId| settled.is_some_and(|s| s.contains(**v)) && Some(**v) != to;
+        let baseline = self.baselines.get(pool);
+        let sound = |v: &&&VersionId| baseline.is_some_and(|s| s.contains(**v)) && Some(**v) != to;
         let mut among: Vec<&&VersionId> = present.keys().filter(sound).collect();
         if among.is_empty() {
             among = present.keys().filter(|v| Some(**v) != to).collect();
@@ -295,7 +294,7 @@
             .map(|v| (**v).clone())
     }
 
-    /// Returns the few upstreams that a release on trial runs on.
+    /// Returns the subset of upstreams that a release on trial runs on.
     pub fn canary(
         &self,
         pool: &PoolId,
@@ -305,123 +304,122 @@
     ) -> Option<Canary> {
         let moving = self.moves.get(pool)?;
         let on_trial = moving.order.to == *release;
-        on_trial.then(|| moving.few(now, present)).flatten()
+        on_trial.then(|| moving.canary(now, present)).flatten()
     }
 
-    /// Takes in how far apart the events of a whole stream were; returns whether
-    /// its release has just been found bad.
+    /// Records how far apart the events of a complete stream were; returns whether its release has
+    /// just been found bad.
     pub fn record_pace(&mut self, answer: &Answer, events: u64, span: Span) -> bool {
-        if events < PACED {
+        if events < MIN_PACE_EVENTS {
             return false;
         }
         let pace = Span::from_micros(span.micros() / events);
         let kind = (answer.kind.0.clone(), answer.kind.1);
         let usual = self.paces.get(&kind).copied();
         let limit = usual
-            .and_then(|u| u.known())
-            .map(|us| us as f64 * PACE_TIMES);
+            .and_then(|u| u.value())
+            .map(|us| us as f64 * SLOW_PACE_FACTOR);
         let slow = limit.is_some_and(|limit| pace.micros() as f64 > limit);
         match self.moves.get_mut(answer.pool) {
             Some(moving) if moving.order.to == *answer.release => moving.note_pace(answer, slow),
             moving => {
                 if let Some(moving) = moving {
-                    moving.old.note(false, slow);
+                    moving.old.record(false, slow);
                 }
-                self.paces.entry(kind).or_default().note(pace);
+                self.paces.entry(kind).or_default().add(pace);
                 false
             }
         }
     }
 
-    /// Takes in that a stream was left since nothing came of it any more; returns whether
-    /// its release has just been found bad.
+    /// Records that a stream was abandoned because it stalled; returns whether its release has just
+    /// been found bad.
     ///
-    /// A stream that is left has no pace, so without this a release whose events are far
-    /// apart took the evidence against it away: on calcne-recife half of the streams of a
-    /// slow release on trial were left.
+    /// An abandoned stream has no pace. Without this record a release whose events are far apart
+    /// would remove the evidence against it: on one installation half of the streams of a slow
+    /// release on trial were abandoned.
     pub fn record_stall(&mut self, answer: &Answer) -> bool {
         let Some(moving) = self.moves.get_mut(answer.pool) else {
             return false;
         };
         if moving.order.to != *answer.release {
-            moving.old.note(false, true);
+            moving.old.record(false, true);
             return false;
         }
         moving.note_stall(answer)
     }
 
-    /// Notes that a request of a session is at a release.
-    pub fn set_affinity(&mut self, stay: Affinity, now: Time) {
-        let moving = self.moves.get(&stay.pool);
-        if moving.is_some_and(|m| m.draws(unit(stay.session), &stay.release)) {
-            self.sessions.tell(stay.session);
+    /// Records that a request of a session is at a release.
+    pub fn set_affinity(&mut self, affinity: Affinity, now: Time) {
+        let moving = self.moves.get(&affinity.pool);
+        if moving.is_some_and(|m| m.draws(session_draw(affinity.session), &affinity.release)) {
+            self.sessions.queue(affinity.session);
         }
-        self.sessions.keep(stay, now);
+        self.sessions.insert(affinity, now);
     }
 
-    /// Returns the sessions that other entries are to be told of: they stay at their release
-    /// though all entries draw them for the one on trial.
+    /// Returns the sessions to report to other entries: they stay at their release though all
+    /// entries draw them for the one on trial.
     pub fn take_affinities(&mut self, now: Time) -> Vec<Affinity> {
-        self.sessions.stays(now)
+        self.sessions.take_queued(now)
     }
 
-    /// Takes in that another entry serves a session at a release. One that this entry has sent
+    /// Records that another entry serves a session at a release. A session that this entry has sent
     /// to the release on trial meanwhile stays there.
-    pub fn merge_affinity(&mut self, stay: Affinity, now: Time) {
-        let to = self.moves.get(&stay.pool).map(|m| &m.order.to);
-        let known = self.sessions.get(stay.session, now);
+    pub fn merge_affinity(&mut self, affinity: Affinity, now: Time) {
+        let to = self.moves.get(&affinity.pool).map(|m| &m.order.to);
+        let known = self.sessions.get(affinity.session, now);
         if known.is_some_and(|k| Some(&k.release) == to) {
             return;
         }
-        self.sessions.keep(stay, now);
+        self.sessions.insert(affinity, now);
     }
 
-    /// Takes in what an answer tells; returns whether its release has just been
-    /// found bad.
+    /// Records an answer; returns whether its release has just been found bad.
     pub fn record_answer(&mut self, answer: &Answer) -> bool {
         let slow = self.is_slow(answer);
         let Some(moving) = self.moves.get_mut(answer.pool) else {
-            self.note_usual(answer);
+            self.add_usual(answer);
             return false;
         };
         if moving.order.to != *answer.release {
-            moving.old.note(answer.ttft.is_none(), slow);
-            self.note_usual(answer);
+            moving.old.record(answer.ttft.is_none(), slow);
+            self.add_usual(answer);
             return false;
         }
         if moving.state == Some(State::Completed) {
             return false;
         }
-        let slow = slow && moving.tells_slowness(answer.sent);
-        moving.new.note(answer.ttft.is_none(), slow);
-        moving.learn(answer.upstream, answer.ttft.is_none() || slow)
+        let slow = slow && moving.counts_slowness(answer.sent);
+        moving.new.record(answer.ttft.is_none(), slow);
+        moving.record(answer.upstream, answer.ttft.is_none() || slow)
     }
 
-    /// Returns whether an answer took far longer to begin than is usual for its work.
+    /// Returns whether an answer took far longer to begin than is usual for its expected time.
     pub fn is_slow(&self, answer: &Answer) -> bool {
         let kind = (answer.kind.0.clone(), answer.kind.1);
         let known = answer.ttft.zip(self.usual.get(&kind));
         known.is_some_and(|(first, usual)| usual.is_slow(first, answer.expected))
     }
 
-    fn note_usual(&mut self, answer: &Answer) {
+    fn add_usual(&mut self, answer: &Answer) {
         let Some(first) = answer.ttft else {
             return;
         };
         let kind = (answer.kind.0.clone(), answer.kind.1);
         let usual = self.usual.entry(kind).or_default();
-        usual.note(tally::by_work(first, answer.expected));
+        usual.add(tally::per_expected_second(first, answer.expected));
     }
 
-    /// Returns what ought to be recorded of each move, where it is not recorded
-    /// already. `running` tells how many requests of this entry are at a release.
+    /// Returns the state to be recorded of each move, if it is not recorded yet. `running` returns
+    /// how many requests of this entry are at a release.
     pub fn propose(
         &self,
         now: Time,
         running: impl Fn(&PoolId, &VersionId) -> u64,
     ) -> Vec<(Order, State)> {
         let proposals = self.moves.iter().filter_map(|(pool, moving)| {
-            let others = self.settled.get(pool).into_iter().flatten();
+            let others = self.baselines.get(pool).into_iter().flatten();
             let others = others.filter(|v| **v != moving.order.to);
             let old: u64 = others.map(|v| running(pool, v)).sum();
             let state = moving.proposal(now, old)?;
@@ -430,8 +428,8 @@
         proposals.collect()
     }
 
-    /// Returns what other entries are to be told: of each move on whose sides something
-    /// was answered here since the last time.
+    /// Returns the reports for other entries, one for each move that had answers here since the
+    /// last call.
     pub fn take_reports(&mut self) -> Vec<(PoolId, Report)> {
         let moves = self.moves.iter_mut();
         moves
@@ -439,8 +437,8 @@
             .collect()
     }
 
-    /// Takes in what the other entries of a data hall tell; returns whether the release has
-    /// just been found bad.
+    /// Processes a report of the other entries of a data hall; returns whether the release has just
+    /// been found bad.
     pub fn merge(&mut self, pool: &PoolId, hall: Hall, report: Report) -> bool {
         let Some(moving) = self.moves.get_mut(pool) else {
             return false;
@@ -456,33 +454,33 @@
         moving.judge(false)
     }
 
-    /// Returns what the move of a pool is judged by.
+    /// Returns the counts by which the move of a pool is judged.
     pub fn totals(&self, pool: &PoolId) -> Totals {
         let moving = self.moves.get(pool);
-        moving.map_or(Totals::default(), Move::grounds)
+        moving.map_or(Totals::default(), Move::totals)
     }
 
-    /// Returns whether the releases of a pool are compared.
+    /// Returns whether the releases of a pool are being compared.
     pub fn is_comparing(&self, pool: &PoolId) -> bool {
         let moving = self.moves.get(pool);
         moving.is_some_and(|m| m.state == Some(State::Running) && !m.bad)
     }
 
-    /// Returns whether a release is on trial, so that what it does is not usual yet.
+    /// Returns whether a release is on trial, so that its behaviour does not count as usual yet.
     pub fn is_on_trial(&self, pool: &PoolId, release: &VersionId) -> bool {
         let moving = self.moves.get(pool);
         moving.is_some_and(|m| m.order.to == *release && m.state != Some(State::Completed))
     }
 
-    /// Returns whether a release was found bad here.
+    /// Returns whether this entry found the new release of a pool bad.
     pub fn is_bad(&self, pool: &PoolId) -> bool {
         self.moves.get(pool).is_some_and(|m| m.bad)
     }
 }
 
-/// Returns a number in `[0, 1)` that a session always gets.
-fn unit(session: u64) -> f64 {
-    // Mixes the bits, so that sessions named alike spread evenly.
+/// Maps a session to a fixed number in `[0, 1)`.
+fn session_draw(session: u64) -> f64 {
+    // Mixes the bits, so that similar session numbers spread evenly.
     let mut x = session ^ (session >> 33);
     x = x.wrapping_mul(0xff51_afd7_ed55_8ccd);
     x ^= x >> 33;
--- a/crates/core/src/release/moving.rs
+++ b/crates/core/src/release/moving.rs
@@ -1,76 +1,77 @@
 //! One move of a pool to another release, as an entry judges it.
 
 use super::schedule::{Schedule, Stage};
-use super::tally::{chance_of, Tally};
+use super::tally::{poisson_tail, Tally};
 use super::{Answer, Canary, Order, Report, State, Totals};
 use crate::evidence::{Detector, Evidence, Thresholds};
 use crate::id::{Hall, UpstreamId, VersionId};
 use crate::unit::{Share, Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How sure one must be to hold a release for worse than the old one.
+/// The confidence that is required to judge a release worse than the old one.
 #[derive(Clone, Copy, Debug)]
-struct Certainty {
-    /// How unlikely as many failures must be, were the release as good as the old one.
-    chance: f64,
-    /// How many times the old release's share of slow answers counts as being as fast.
-    /// Entries tell of a trial when they have just seen an answer that speaks against it,
-    /// so what all told together holds too many of those.
-    as_fast: f64,
+struct Confidence {
+    /// The highest probability of as many failures, if the release were as good as the old one.
+    probability: f64,
+    /// The multiple of the old release's share of slow answers that counts as equally fast. Entries
+    /// report a trial when they have just seen an answer that speaks against it, so the sum of the
+    /// reports contains too many of those.
+    slow_factor: f64,
 }
 
-/// For it to be found bad and left at once.
-const WORSE: Certainty = Certainty {
-    chance: 0.002,
-    as_fast: 2.5,
+/// Required to find a release bad and leave it at once.
+const BAD: Confidence = Confidence {
+    probability: 0.002,
+    slow_factor: 2.5,
 };
-/// For it to be doubtful, so that it is not moved to: giving a good release up costs little,
-/// moving to a bad one may break the limit of what is exposed. Of twelve releases that were eight
-/// times slower and were given 16 s, three were moved to with 0.02 and 2.0, one with these; of 30
-/// good ones on an installation of three entries two are given up, three were.
-const DOUBT: Certainty = Certainty {
-    chance: 0.05,
-    as_fast: 1.5,
+/// Required to find a release doubtful and not move to it. Giving up a good release costs little,
+/// while moving to a bad one may exceed the exposure limit. Of twelve releases that were eight
+/// times slower and were given 16 s, three were moved to with 0.02 and 2.0, and one with these
+/// values; of 30 good releases on an installation of three entries, two are given up instead of
+/// three.
+const DOUBTFUL: Confidence = Confidence {
+    probability: 0.05,
+    slow_factor: 1.5,
 };
-/// How many times the old release's share of failures counts as being as good.
-const AS_GOOD: f64 = 1.5;
-/// What is added to the old release's failures and slow answers: a good release
-/// fails next to never by itself, while now and then an answer is slow.
+/// The multiple of the old release's share of failures that counts as equally good.
+const FAILURE_FACTOR: f64 = 1.5;
+/// Added to the old release's failures and slow answers: a good release hardly ever fails by
+/// itself, while an answer is slow now and then.
 const PRIOR_FAILED: f64 = 0.1;
 const PRIOR_SLOW: f64 = 0.5;
-/// The answers of the old release that its share must rest on.
-const COMPARED: u64 = 50;
-/// The failures, and the share of answers that they are, from which on a release
-/// with nothing to compare it with is doubtful.
-const DOUBTFUL: u64 = 2;
-const DOUBTFUL_SHARE: f64 = 0.15;
-/// The part of the time after which a release that is still doubtful is given up.
+/// The answers of the old release that its shares must rest on.
+const MIN_COMPARED: u64 = 50;
+/// The failures, and their share of all answers, from which on a release without an old one to
+/// compare it with is doubtful.
+const DOUBTFUL_FAILURES: u64 = 2;
+const MIN_FAILURE_SHARE: f64 = 0.15;
+/// The fraction of the given time after which a release that is still doubtful is given up.
 const GIVE_UP_AT: f64 = 0.8;
-/// A release is moved to only where its upstreams are this part of the others.
-const ENOUGH: f64 = 0.5;
-/// The share of failures that a good release may have. Crashes and resets are
-/// not counted as failures of a release.
-const MAX_FAILING: f64 = 0.04;
-/// The chance that a good release is found bad.
+/// The ratio of new upstreams to all others that is required to move everything.
+const MIN_UPSTREAM_RATIO: f64 = 0.5;
+/// The share of failures that a good release may have. Crashes and resets do not count as failures
+/// of a release.
+const MAX_FAILURE_SHARE: f64 = 0.04;
+/// The probability that a good release is found bad.
 const FALSE_ALARM: f64 = 0.001;
-/// How many times the usual load the few upstreams of a trial get: a release that
-/// fails only under load is to show it before everything moves there.
-const STRESS: f64 = 2.0;
-/// The latest answers of a release that are looked at, and how many of them one
-/// upstream must have given to be alone on trial.
-const RECENT: usize = 16;
-const ALONE: usize = 14;
-/// The upstreams on which a release must fail before it is found bad, since one
-/// upstream may fail by itself.
+/// The multiple of the usual load on the subset of upstreams in a trial: a release that fails only
+/// under load must show it before everything moves there.
+const STRESS_FACTOR: f64 = 2.0;
+/// The number of latest answers of a release that are considered, and how many of them one upstream
+/// must have given to be alone on trial.
+const RECENT_ANSWERS: usize = 16;
+const ALONE_ANSWERS: usize = 14;
+/// The number of upstreams on which a release must fail to be found bad, because one upstream may
+/// fail by itself.
 const FAILING_UPSTREAMS: usize = 2;
 
-/// One move and what speaks for and against its release.
+/// One move, and the evidence for and against its release.
 #[derive(Clone, Debug)]
 pub(super) struct Move {
     pub order: Order,
     schedule: Schedule,
     pub state: Option<State>,
-    /// What the record says.
+    /// The state in the store's record.
     recorded: Option<State>,
     pub began: Option<Time>,
     evidence: Evidence,
@@ -81,13 +82,13 @@
     serving: BTreeSet<UpstreamId>,
     /// The upstreams that gave the latest answers of the new release.
     recent: VecDeque<UpstreamId>,
-    /// What the other entries found, by data hall.
+    /// The reports of the other entries, by data hall.
     pub others: BTreeMap<Hall, Report>,
-    told: u64,
+    reported: u64,
     pub bad: bool,
 }
 
-/// Where a move stands.
+/// The phase of a move.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     /// A share of sessions gets the new release.
@@ -100,9 +101,9 @@
     Off,
 }
 
-/// Which side of a move a request goes to.
+/// The side of a move that a request goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Wanted {
+pub(super) enum Side {
     Old,
     New,
 }
@@ -124,14 +125,14 @@
             serving: BTreeSet::new(),
             recent: VecDeque::new(),
             others: BTreeMap::new(),
-            told: 0,
+            reported: 0,
             bad: false,
         }
     }
 
-    /// Takes in what is recorded. A move that ended stays so: the record may have been lost, and
-    /// begun anew by an entry that did not know of it.
-    pub fn note_state(&mut self, state: Option<State>) {
+    /// Sets the recorded state. A move that ended stays so: the record may have been lost, and
+    /// written anew by an entry that did not know of it.
+    pub fn set_recorded(&mut self, state: Option<State>) {
         self.recorded = state.or(self.recorded);
         if !self.is_over() {
             self.state = state.or(self.state);
@@ -151,30 +152,32 @@
         if self.bad || state.is_none() {
             return Phase::Off;
         }
-        if self.passed(now) < self.schedule.lead() {
+        if self.elapsed(now) < self.schedule.lead() {
             return Phase::Held;
         }
-        // All entries must move at the same time, so little but the time decides.
-        match self.schedule.stage(self.passed(now)) {
+        // All entries must move at the same time, so the decision depends on little but the time.
+        match self.schedule.stage(self.elapsed(now)) {
             Stage::All if self.is_doubtful() => Phase::Held,
             Stage::All => Phase::Moved,
             stage => Phase::Trial(stage),
         }
     }
 
-    /// Returns whether the release looks worse than the old one, though that may be
-    /// chance: with few answers of the old one to compare with, by its failures alone.
+    /// Returns whether the release looks worse than the old one, though that may be coincidence.
+    /// With few answers of the old one to compare with, only the failures of the new one count.
     fn is_doubtful(&self) -> bool {
-        if self.old.answers >= COMPARED {
-            return self.is_worse_at(DOUBT);
+        if self.old.answers >= MIN_COMPARED {
+            return self.is_worse_at(DOUBTFUL);
         }
         let failures = self.evidence.failures;
         let share = failures as f64 / self.evidence.answers.max(1) as f64;
-        self.is_wide(self.failing.len()) && failures >= DOUBTFUL && share > DOUBTFUL_SHARE
+        self.is_wide(self.failing.len())
+            && failures >= DOUBTFUL_FAILURES
+            && share > MIN_FAILURE_SHARE
     }
 
-    /// Returns whether all entries draw a session for the trial that is at this other release:
-    /// those that have not heard of it would send it to the one on trial.
+    /// Returns whether all entries draw a session for the trial that is at this other release.
+    /// Entries that do not know of the session would send it to the release on trial.
     pub fn draws(&self, draw: f64, release: &VersionId) -> bool {
         let on_trial = matches!(self.state, None | Some(State::Running)) && !self.bad;
         on_trial && *release != self.order.to && draw < self.schedule.share(Stage::Small)
@@ -184,44 +187,44 @@
     fn has_enough(&self, present: &BTreeMap<&VersionId, usize>) -> bool {
         let new = present.get(&self.order.to).copied().unwrap_or(0);
         let old: usize = present.values().sum::<usize>() - new;
-        self.state == Some(State::Completed) || new as f64 >= old as f64 * ENOUGH
+        self.state == Some(State::Completed) || new as f64 >= old as f64 * MIN_UPSTREAM_RATIO
     }
 
-    /// Returns how much of the time given has passed.
-    fn passed(&self, now: Time) -> Span {
+    /// Returns how much of the given time has passed.
+    fn elapsed(&self, now: Time) -> Span {
         now.since(self.began.unwrap_or(now))
     }
 
-    /// Returns the part of the time given that has passed.
-    fn part(&self, now: Time) -> f64 {
-        self.schedule.part(self.passed(now))
+    /// Returns the fraction of the given time that has passed.
+    fn elapsed_fraction(&self, now: Time) -> f64 {
+        self.schedule.part(self.elapsed(now))
     }
 
-    /// Returns which side of the move a request goes to.
-    pub fn wanted(
+    /// Returns the side of the move that a request goes to.
+    pub fn side(
         &self,
-        kept: Option<&VersionId>,
+        current: Option<&VersionId>,
         draw: f64,
         now: Time,
         present: &BTreeMap<&VersionId, usize>,
-    ) -> Wanted {
-        let stays = |kept: &VersionId| match *kept == self.order.to {
-            true => Wanted::New,
-            false => Wanted::Old,
+    ) -> Side {
+        let stays = |current: &VersionId| match *current == self.order.to {
+            true => Side::New,
+            false => Side::Old,
         };
-        match (self.phase(now), kept) {
-            (Phase::Off, _) => Wanted::Old,
-            (Phase::Moved, _) if self.has_enough(present) => Wanted::New,
-            (Phase::Moved | Phase::Held, kept) => kept.map_or(Wanted::Old, stays),
-            (Phase::Trial(Stage::Small), Some(kept)) => stays(kept),
-            (Phase::Trial(stage), _) if draw < self.schedule.share(stage) => Wanted::New,
-            (Phase::Trial(_), kept) => kept.map_or(Wanted::Old, stays),
+        match (self.phase(now), current) {
+            (Phase::Off, _) => Side::Old,
+            (Phase::Moved, _) if self.has_enough(present) => Side::New,
+            (Phase::Moved | Phase::Held, current) => current.map_or(Side::Old, stays),
+            (Phase::Trial(Stage::Small), Some(current)) => stays(current),
+            (Phase::Trial(stage), _) if draw < self.schedule.share(stage) => Side::New,
+            (Phase::Trial(_), current) => current.map_or(Side::Old, stays),
         }
     }
 
-    /// Returns the few upstreams that a trial runs on, so that they work under the
-    /// load that all will have.
-    pub fn few(&self, now: Time, present: &BTreeMap<&VersionId, usize>) -> Option<Canary> {
+    /// Returns the subset of upstreams that a trial runs on, so that they work under the load that
+    /// all will have.
+    pub fn canary(&self, now: Time, present: &BTreeMap<&VersionId, usize>) -> Option<Canary> {
         let Phase::Trial(stage) = self.phase(now) else {
             return None;
         };
@@ -229,7 +232,7 @@
         let old = present.values().sum::<usize>() - new;
         let usual = self.schedule.share(stage) * old as f64;
         let count = match stage {
-            Stage::Loaded => (usual / STRESS) as usize,
+            Stage::Loaded => (usual / STRESS_FACTOR) as usize,
             _ => (usual.round() as usize).max(FAILING_UPSTREAMS),
         };
         Some(Canary {
@@ -238,13 +241,13 @@
         })
     }
 
-    /// Takes in whether an answer speaks against the release; returns whether it has
-    /// just been found bad.
-    pub fn learn(&mut self, upstream: &UpstreamId, failed: bool) -> bool {
+    /// Records whether an answer speaks against the release; returns whether it has just been found
+    /// bad.
+    pub fn record(&mut self, upstream: &UpstreamId, failed: bool) -> bool {
         let bar = Thresholds {
-            floor: 1.0 - MAX_FAILING,
-            bad_mean: 1.0 - 4.0 * MAX_FAILING,
-            max_error: MAX_FAILING,
+            floor: 1.0 - MAX_FAILURE_SHARE,
+            bad_mean: 1.0 - 4.0 * MAX_FAILURE_SHARE,
+            max_error: MAX_FAILURE_SHARE,
             false_alarm: FALSE_ALARM,
         };
         self.serving.insert(upstream.clone());
@@ -252,7 +255,7 @@
             self.failing.insert(upstream.clone());
         }
         self.recent.push_back(upstream.clone());
-        if self.recent.len() > RECENT {
+        if self.recent.len() > RECENT_ANSWERS {
             self.recent.pop_front();
         }
         self.evidence.answer(failed, &bar);
@@ -260,68 +263,69 @@
         self.judge(found && self.is_wide(self.failing.len()))
     }
 
-    /// Takes in whether the events of a stream of the new release came slowly; returns whether
-    /// it has just been found bad.
+    /// Records whether the events of a stream of the new release came slowly; returns whether it
+    /// has just been found bad.
     pub fn note_pace(&mut self, answer: &Answer, slow: bool) -> bool {
-        self.note_stream(answer, slow && self.tells_pace(answer))
+        self.note_stream(answer, slow && self.counts_pace(answer))
     }
 
-    /// Takes in that a stream of the new release was left since nothing came of it any more;
-    /// returns whether it has just been found bad.
+    /// Records that a stream of the new release was abandoned because it stalled; returns whether
+    /// it has just been found bad.
     pub fn note_stall(&mut self, answer: &Answer) -> bool {
-        self.note_stream(answer, self.tells_slowness(answer.sent))
+        self.note_stream(answer, self.counts_slowness(answer.sent))
     }
 
     fn note_stream(&mut self, answer: &Answer, slow: bool) -> bool {
-        self.new.note(false, slow);
-        self.state != Some(State::Completed) && self.learn(answer.upstream, slow)
+        self.new.record(false, slow);
+        self.state != Some(State::Completed) && self.record(answer.upstream, slow)
     }
 
-    /// Returns whether an answer that was asked for at a time and is slow says something about
-    /// its release: not where its upstreams were loaded more than those of the old one.
-    pub fn tells_slowness(&self, sent: Time) -> bool {
-        self.schedule.stage(self.passed(sent)) != Stage::Loaded
+    /// Returns whether a slow answer to a request that was sent at this time says something about
+    /// its release: not if its upstreams were loaded more than those of the old one.
+    pub fn counts_slowness(&self, sent: Time) -> bool {
+        self.schedule.stage(self.elapsed(sent)) != Stage::Loaded
     }
 
-    /// Returns whether a slow pace says something about the release: not where its upstreams were
+    /// Returns whether a slow pace says something about the release: not if its upstreams were
     /// loaded more at any time of the stream.
     ///
-    /// Streams that had begun before were slowed as well, and 3 of 30 good releases on an
-    /// installation of three entries were given up, none without them. What began slowly before
-    /// still counts: without that 2 of 10 releases that were eight times slower were completed.
-    fn tells_pace(&self, answer: &Answer) -> bool {
-        let stage = |at: Time| self.schedule.stage(self.passed(at));
+    /// Streams that began before that stage are slowed as well. With them, 3 of 30 good releases on
+    /// an installation of three entries were given up, without them none. A slow start before that
+    /// stage still counts: without it, 2 of 10 releases that were eight times slower were
+    /// completed.
+    fn counts_pace(&self, answer: &Answer) -> bool {
+        let stage = |at: Time| self.schedule.stage(self.elapsed(at));
         stage(answer.sent) > Stage::Loaded || stage(answer.seen) < Stage::Loaded
     }
 
-    /// Returns whether failures at so many upstreams are the release's: at two, or
-    /// at one that gives next to all answers of the trial.
+    /// Returns whether failures at this many upstreams are due to the release: at two, or at one
+    /// that gives nearly all answers of the trial.
     fn is_wide(&self, failing: usize) -> bool {
         failing >= FAILING_UPSTREAMS.min(self.serving.len()) || (failing > 0 && self.is_alone())
     }
 
-    /// Returns whether one upstream gave next to all of the latest answers.
+    /// Returns whether one upstream gave nearly all of the latest answers.
     fn is_alone(&self) -> bool {
         let Some(last) = self.recent.back() else {
             return false;
         };
         let same = self.recent.iter().filter(|u| *u == last).count();
-        self.recent.len() == RECENT && same >= ALONE
+        self.recent.len() == RECENT_ANSWERS && same >= ALONE_ANSWERS
     }
 
-    /// Notes whether the release is bad; returns whether that is new.
+    /// Records whether the release is bad; returns whether that is new.
     pub fn judge(&mut self, found: bool) -> bool {
         let before = self.bad;
-        self.bad |= found || self.is_worse_at(WORSE);
+        self.bad |= found || self.is_worse_at(BAD);
         self.bad && !before
     }
 
-    /// Returns what other entries are to be told, if there is news.
+    /// Returns the report for other entries, if there were answers since the last one.
     pub fn report(&mut self) -> Option<Report> {
         let answers = self.old.answers + self.new.answers;
-        let news = answers > self.told && self.state == Some(State::Running);
-        self.told = answers;
-        news.then(|| Report {
+        let has_news = answers > self.reported && self.state == Some(State::Running);
+        self.reported = answers;
+        has_news.then(|| Report {
             number: self.order.issued.version,
             era: self.order.issued.era,
             old: self.old,
@@ -330,8 +334,8 @@
         })
     }
 
-    /// Returns what all entries saw of both releases.
-    pub fn grounds(&self) -> Totals {
+    /// Returns the counts of all entries for both releases.
+    pub fn totals(&self) -> Totals {
         let (mut old, mut new) = (self.old, self.new);
         for report in self.others.values() {
             old.add(&report.old);
@@ -340,39 +344,45 @@
         Totals { old, new }
     }
 
-    /// Returns whether the new release fails, or is slow, more often than the old one
-    /// did at the same time, as all entries saw it, with so small a chance that a
-    /// release as good as the old one looks so.
-    fn is_worse_at(&self, certainty: Certainty) -> bool {
-        let Totals { old, new } = self.grounds();
+    /// Returns whether the new release fails, or is slow, more often than the old one did at the
+    /// same time over all entries, and a release as good as the old one would look so with too low
+    /// a probability.
+    fn is_worse_at(&self, confidence: Confidence) -> bool {
+        let Totals { old, new } = self.totals();
         let mut failing: BTreeSet<&UpstreamId> = self.failing.iter().collect();
         for report in self.others.values() {
             failing.extend(&report.failing);
         }
-        if old.answers < COMPARED || !self.is_wide(failing.len()) {
+        if old.answers < MIN_COMPARED || !self.is_wide(failing.len()) {
             return false;
         }
         let clear = |old_count: f64, count: u64, times: f64| {
             let share = old_count / (old.answers as f64 + 1.0);
             let expected = share * times * new.answers as f64;
-            count >= DOUBTFUL && chance_of(count, expected) < certainty.chance
+            count >= DOUBTFUL_FAILURES && poisson_tail(count, expected) < confidence.probability
         };
-        clear(old.failed as f64 + PRIOR_FAILED, new.failed, AS_GOOD)
-            || clear(old.slow as f64 + PRIOR_SLOW, new.slow, certainty.as_fast)
+        clear(old.failed as f64 + PRIOR_FAILED, new.failed, FAILURE_FACTOR)
+            || clear(
+                old.slow as f64 + PRIOR_SLOW,
+                new.slow,
+                confidence.slow_factor,
+            )
     }
 
-    /// Returns what ought to be recorded, if it is not recorded already. `old` tells
-    /// how many requests of this entry are at the old release.
+    /// Returns the state to be recorded, if it is not recorded yet. `old` is the number of this
+    /// entry's requests at the old release.
     pub fn proposal(&self, now: Time, old: u64) -> Option<State> {
         match self.state {
             None => Some(State::Running),
             Some(State::Running) if self.bad => Some(State::RolledBack),
-            Some(State::Running) if self.part(now) >= GIVE_UP_AT && self.is_doubtful() => {
+            Some(State::Running)
+                if self.elapsed_fraction(now) >= GIVE_UP_AT && self.is_doubtful() =>
+            {
                 Some(State::RolledBack)
             }
             Some(State::Running) if self.phase(now) != Phase::Moved => None,
             Some(State::Running) => {
-                let done = self.schedule.completes(self.passed(now), old == 0);
+                let done = self.schedule.completes(self.elapsed(now), old == 0);
                 (done && !self.serving.is_empty()).then_some(State::Completed)
             }
             Some(State::Completed | State::RolledBack) => {
--- a/crates/core/src/release/sessions.rs
+++ b/crates/core/src/release/sessions.rs
@@ -1,94 +1,96 @@
-//! At which release each session is, and which of them other entries must be told of.
+//! The release of each session, and the sessions to report to other entries.
 //!
 //! A session stays at its release in the first half of a move, whichever entries its requests
-//! come to. All of them draw the same sessions for the release on trial, by their names; one
-//! that was drawn but is at the old release, since it was there before, is known only to the
-//! entry that served it. So that entry tells the others, at the beginning and at the end of
-//! each of its requests.
+//! reach. All entries draw the same sessions for the release on trial, by their numbers. A session
+//! that was drawn but is at the old release, because it began there, is known only to the entry
+//! that served it. That entry reports it to the others at the start and at the end of each of its
+//! requests.
 
 use crate::id::{PoolId, VersionId};
 use crate::unit::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
 
-/// How long a session is remembered after its last request; the sites count
-/// requests within 5 s as one session.
+/// How long a session is kept after its last request; the sites count requests within 5 s as one
+/// session.
 pub const SESSION_TTL: Span = Span::from_millis(6_000);
-/// The sessions remembered before old ones are looked for.
-const MOST: usize = 4096;
+/// The number of sessions from which on expired ones are removed.
+const PRUNE_ABOVE: usize = 4096;
 
-/// A session that stays at a release, as entries note it and tell one another.
+/// A session that stays at a release, as entries report it to one another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Affinity {
-    /// The pool.
+    /// The pool of the release.
     pub pool: PoolId,
-    /// The release.
+    /// The release that serves the session.
     pub release: VersionId,
-    /// The session.
+    /// The number of the session.
     pub session: u64,
-    /// For how long its next request may come.
+    /// How long the session lasts without another request.
     pub left: Span,
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Kept {
+pub(super) struct Session {
     pool: PoolId,
     pub release: VersionId,
-    /// Until when the next request may come.
-    until: Time,
+    /// When the session expires.
+    expires_at: Time,
 }
 
-/// The sessions of one entry, and those that it was told of.
+/// The sessions of one entry, and those that others reported to it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Sessions {
-    kept: HashMap<u64, Kept>,
-    /// Those that other entries are to be told of.
-    untold: BTreeSet<u64>,
+    sessions: HashMap<u64, Session>,
+    /// The sessions to report to other entries.
+    queued: BTreeSet<u64>,
 }
 
 impl Sessions {
-    /// Returns where a session is, if its next request may still come.
-    pub fn get(&self, session: u64, now: Time) -> Option<&Kept> {
-        self.kept.get(&session).filter(|kept| now < kept.until)
+    /// Returns the release of a session that has not expired.
+    pub fn get(&self, session: u64, now: Time) -> Option<&Session> {
+        self.sessions
+            .get(&session)
+            .filter(|known| now < known.expires_at)
     }
 
-    /// Notes where a session is.
-    pub fn keep(&mut self, stay: Affinity, now: Time) {
-        if self.kept.len() >= MOST {
-            self.kept.retain(|_, kept| now < kept.until);
+    /// Records the release of a session.
+    pub fn insert(&mut self, affinity: Affinity, now: Time) {
+        if self.sessions.len() >= PRUNE_ABOVE {
+            self.sessions.retain(|_, known| now < known.expires_at);
         }
-        let kept = Kept {
-            pool: stay.pool,
-            release: stay.release,
-            until: now + stay.left,
+        let known = Session {
+            pool: affinity.pool,
+            release: affinity.release,
+            expires_at: now + affinity.left,
         };
-        self.kept.insert(stay.session, kept);
+        self.sessions.insert(affinity.session, known);
     }
 
-    /// Notes that other entries are to be told of a session.
-    pub fn tell(&mut self, session: u64) {
-        self.untold.insert(session);
+    /// Queues a session to be reported to other entries.
+    pub fn queue(&mut self, session: u64) {
+        self.queued.insert(session);
     }
 
-    /// Notes that other entries are to be told of all sessions of a pool for which `is_told`.
-    pub fn tell_all(&mut self, pool: &PoolId, is_told: impl Fn(u64, &VersionId) -> bool) {
-        let of = self.kept.iter().filter(|(_, k)| k.pool == *pool);
-        let told = of.filter(|(session, k)| is_told(**session, &k.release));
-        self.untold.extend(told.map(|(session, _)| *session));
+    /// Queues all matching sessions of a pool to be reported to other entries.
+    pub fn queue_matching(&mut self, pool: &PoolId, is_selected: impl Fn(u64, &VersionId) -> bool) {
+        let of = self.sessions.iter().filter(|(_, k)| k.pool == *pool);
+        let told = of.filter(|(session, k)| is_selected(**session, &k.release));
+        self.queued.extend(told.map(|(session, _)| *session));
     }
 
-    /// Returns what other entries are to be told since the last call.
-    pub fn stays(&mut self, now: Time) -> Vec<Affinity> {
-        let untold = std::mem::take(&mut self.untold);
-        let stay = |session: u64| {
-            let kept = self.get(session, now)?;
+    /// Returns the sessions to report to other entries since the last call.
+    pub fn take_queued(&mut self, now: Time) -> Vec<Affinity> {
+        let queued = std::mem::take(&mut self.queued);
+        let affinity = |session: u64| {
+            let known = self.get(session, now)?;
             Some(Affinity {
-                pool: kept.pool.clone(),
-                release: kept.release.clone(),
+                pool: known.pool.clone(),
+                release: known.release.clone(),
                 session,
-                left: kept.until.since(now),
+                left: known.expires_at.since(now),
             })
         };
-        untold.into_iter().filter_map(stay).collect()
+        queued.into_iter().filter_map(affinity).collect()
     }
 }
