--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -41,8 +41,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// The crashes from which on a request is held back. One or two happen to requests that ran beside
-/// one that causes crashes.
+/// The number of crashes, with no answer in between, from which on a request is held back. One or
+/// two happen to requests that ran beside one that causes crashes.
 const MIN_CRASHES: usize = 3;
 /// The most crashes that are required, however many upstreams crash without the request.
 const MAX_REQUIRED: usize = 24;
--- a/crates/core/src/release/moving.rs
+++ b/crates/core/src/release/moving.rs
@@ -208,17 +208,17 @@
         now: Time,
         present: &BTreeMap<&VersionId, usize>,
     ) -> Side {
-        let stays = |current: &VersionId| match *current == self.order.to {
+        let side_of = |current: &VersionId| match *current == self.order.to {
             true => Side::New,
             false => Side::Old,
         };
         match (self.phase(now), current) {
             (Phase::Off, _) => Side::Old,
             (Phase::Moved, _) if self.has_enough(present) => Side::New,
-            (Phase::Moved | Phase::Held, current) => current.map_or(Side::Old, stays),
-            (Phase::Trial(Stage::Small), Some(current)) => stays(current),
+            (Phase::Moved | Phase::Held, current) => current.map_or(Side::Old, side_of),
+            (Phase::Trial(Stage::Small), Some(current)) => side_of(current),
             (Phase::Trial(stage), _) if draw < self.schedule.share(stage) => Side::New,
-            (Phase::Trial(_), current) => current.map_or(Side::Old, stays),
+            (Phase::Trial(_), current) => current.map_or(Side::Old, side_of),
         }
     }
 
--- a/crates/core/src/release/schedule.rs
+++ b/crates/core/src/release/schedule.rs
@@ -17,9 +17,9 @@
 
 use crate::unit::{Share, Span};
 
-/// The share of sessions on a release on trial in the first half. Sessions move between entries,
-/// and while the reports of these are on the way, a session that another entry has just served on
-/// the old release may be drawn. No more than three sessions may be moved so.
+/// The share of sessions on a release on trial in the first half. Sessions change entries, and
+/// until the report of the former entry arrives, a session that it has just served on the old
+/// release may be drawn. No more than three sessions may be moved so.
 const TRIAL_SHARE: f64 = 0.025;
 /// How long after its record a trial begins. Entries learn of the record within some 0.1 s, and of
 /// the sessions that others serve on the old release within 0.3 s, over three links, each of which
--- a/crates/core/src/release/sessions.rs
+++ b/crates/core/src/release/sessions.rs
@@ -75,8 +75,8 @@
     /// Queues all matching sessions of a pool to be reported to other entries.
     pub fn queue_matching(&mut self, pool: &PoolId, is_selected: impl Fn(u64, &VersionId) -> bool) {
         let of = self.sessions.iter().filter(|(_, k)| k.pool == *pool);
-        let told = of.filter(|(session, k)| is_selected(**session, &k.release));
-        self.queued.extend(told.map(|(session, _)| *session));
+        let matching = of.filter(|(session, k)| is_selected(**session, &k.release));
+        self.queued.extend(matching.map(|(session, _)| *session));
     }
 
     /// Returns the sessions to report to other entries since the last call.
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -87,8 +87,8 @@
     );
 }
 
-/// A request that ran beside the cause at each crash cannot be told from it; one that did so twice
-/// can.
+/// A request that ran beside the cause at each crash cannot be distinguished from it; one that did
+/// so at two crashes can.
 #[test]
 fn requests_beside_the_cause_are_not_held_back() {
     let mut quarantine = Quarantine::default();
@@ -341,7 +341,7 @@
             now: ms(0),
             next: 1,
         };
-        fixture.tell(streams(""));
+        fixture.handle(streams(""));
         for link in 1..=upstreams {
             let member = Member {
                 upstream: format!("u{link}").parse().unwrap(),
@@ -352,18 +352,18 @@
                     ..Load::default()
                 },
             };
-            fixture.tell(Input::Join(link, Box::new(member)));
+            fixture.handle(Input::Join(link, Box::new(member)));
         }
         fixture
     }
 
-    fn tell(&mut self, input: Input) -> Vec<Output> {
+    fn handle(&mut self, input: Input) -> Vec<Output> {
         self.entry.handle(self.now, input)
     }
 
     fn pass(&mut self, ms: u64) -> Vec<Output> {
         self.now = self.now + Span::from_millis(ms);
-        self.tell(Input::Tick)
+        self.handle(Input::Tick)
     }
 
     /// Requests a path; returns the request and the outputs of the entry.
@@ -371,12 +371,15 @@
         let request = RequestId::new(1, self.next);
         self.next += 1;
         let label = format!("r{}", self.next);
-        (request, self.tell(ask(request, None, routed(label, path))))
+        (
+            request,
+            self.handle(ask(request, None, routed(label, path))),
+        )
     }
 
     fn fail(&mut self, sent: (Link, wire::Run)) -> Vec<Output> {
         let failure = Failure::new(Reason::UpstreamLost, Verdict::MayHaveRun, "broke off");
-        self.tell(Input::Reply(sent.0, sent.1, Reply::Fail(failure)))
+        self.handle(Input::Reply(sent.0, sent.1, Reply::Fail(failure)))
     }
 
     /// Lets a path crash its upstreams until it is held back; returns the number of crashes.
@@ -423,7 +426,7 @@
     let mut fixture = Fixture::new(12);
     let (begun, out) = fixture.ask("/drafts/bad");
     let (link, run) = sent(&out).unwrap();
-    fixture.tell(Input::Reply(link, run, head(200)));
+    fixture.handle(Input::Reply(link, run, head(200)));
     let (waiting, out) = fixture.ask("/drafts/bad");
     let other = sent(&out).unwrap();
     fixture.crash("/drafts/bad");
@@ -441,7 +444,7 @@
         .unwrap()
         .failure
         .is_none());
-    let out = fixture.tell(Input::Reply(link, run, Reply::End));
+    let out = fixture.handle(Input::Reply(link, run, Reply::End));
     let freed = |o: &Output| matches!(o, Output::RecordQuarantine(Change::Freed(_)));
     assert!(out.iter().any(freed), "{out:?}");
     assert!(sent(&fixture.ask("/drafts/bad").1).is_some());
@@ -457,8 +460,8 @@
     let (_, out) = fixture.ask("/drafts/bad");
     let refusal = failure(&out).expect("no second run beside it");
     assert_eq!(refusal.reason, Reason::Quarantined);
-    fixture.tell(Input::Reply(link, run, head(200)));
-    fixture.tell(Input::Reply(link, run, Reply::End));
+    fixture.handle(Input::Reply(link, run, head(200)));
+    fixture.handle(Input::Reply(link, run, Reply::End));
     assert!(sent(&fixture.ask("/drafts/bad").1).is_some(), "it is free");
 }
 
--- a/crates/core/tests/release.rs
+++ b/crates/core/tests/release.rs
@@ -30,7 +30,7 @@
             new: "v2".parse().unwrap(),
         };
         fixture.releases.set_baseline(&fixture.pool, [&fixture.old]);
-        fixture.tell(State::Running);
+        fixture.set_state(State::Running);
         fixture
     }
 
@@ -45,7 +45,7 @@
         self.releases.set_affinity(affinity, at(ms));
     }
 
-    fn tell(&mut self, state: State) {
+    fn set_state(&mut self, state: State) {
         let order = Order {
             pool: self.pool.clone(),
             to: self.new.clone(),
@@ -181,7 +181,7 @@
     let mut fixture = Fixture::running();
     fixture.releases = Releases::new(Share::percent(8));
     fixture.releases.set_baseline(&fixture.pool, [&fixture.old]);
-    fixture.tell(State::Running);
+    fixture.set_state(State::Running);
     assert!(fixture.share(DURATION * 60 / 100, 6) < 0.05);
 }
 
@@ -280,7 +280,7 @@
         Some(State::Completed)
     );
     assert_eq!(fixture.proposed(DURATION - 800, 3), Some(State::Completed));
-    fixture.tell(State::Completed);
+    fixture.set_state(State::Completed);
     assert_eq!(fixture.proposed(DURATION * 97 / 100, 0), None);
     assert_eq!(fixture.share(DURATION * 97 / 100, 1), 1.0);
 }
@@ -596,9 +596,9 @@
 fn a_record_does_not_restart_a_move_that_ended() {
     for ended in [State::Completed, State::RolledBack] {
         let mut fixture = Fixture::running();
-        fixture.tell(ended);
+        fixture.set_state(ended);
         assert_eq!(fixture.proposed(20_000, 0), None);
-        fixture.tell(State::Running);
+        fixture.set_state(State::Running);
         assert_eq!(fixture.proposed(20_000, 0), Some(ended));
         let share = fixture.share(20_000, 3);
         let expected = if ended == State::Completed { 1.0 } else { 0.0 };
