--- a/crates/core/src/era/mod.rs
+++ b/crates/core/src/era/mod.rs
@@ -6,8 +6,8 @@
 //! is written again.
 //!
 //! ```
-//! use sorreldeck::era::{Backup, Comparison, Era, Freshness, History, Kind, Local, Prior, Resolution};
-//! use sorreldeck::era::{RowState, Stamp, Tracker};
+//! use sorreldeck::era::{Backup, Comparison, Era, Freshness, History, Kind, Local, Prior};
+//! use sorreldeck::era::{Resolution, RowState, Stamp, Tracker};
 //! use sorreldeck::Time;
 //!
 //! let mut tracker = Tracker::default();
