--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -145,7 +145,7 @@
     /// long to be read.
     Prefill(u64, Span),
     /// Another entry serves a session at a release.
-    SessionPin(release::Affinity),
+    SessionAffinity(release::Affinity),
     /// Another entry tells of requests and the upstreams that crashed under them.
     QuarantineUpdate(quarantine::Update),
     /// Another entry tells what an upstream said of itself.
@@ -231,7 +231,7 @@
     /// that takes this long.
     Prefill(u64, Span),
     /// Tell other entries that a session stays at a release.
-    SessionPin(release::Affinity),
+    SessionAffinity(release::Affinity),
     /// Tell other entries of requests and the upstreams that crashed under them.
     QuarantineUpdate(quarantine::Update),
     /// Tell other entries what an upstream said of itself.
@@ -353,7 +353,7 @@
                 }
             }
             Input::Prefill(number, reading) => self.peers.add_remote_prefill(number, reading, now),
-            Input::SessionPin(stay) => self.releases.merge_affinity(stay, now),
+            Input::SessionAffinity(stay) => self.releases.merge_affinity(stay, now),
             Input::QuarantineUpdate(word) => self.take_word(now, word),
             Input::Notice(word) => self.peers.apply_remote_notice(word, now),
             Input::Quarantined(fingerprint, hold) => {
@@ -378,7 +378,7 @@
             self.releases
                 .take_affinities(now)
                 .into_iter()
-                .map(Output::SessionPin),
+                .map(Output::SessionAffinity),
         );
         out
     }
--- a/crates/core/tests/random.rs
+++ b/crates/core/tests/random.rs
@@ -296,7 +296,7 @@
             entry::Output::Forward(..)
             | entry::Output::RecordQuarantine(_)
             | entry::Output::Prefill(..)
-            | entry::Output::SessionPin(..)
+            | entry::Output::SessionAffinity(..)
             | entry::Output::Suspect(_)
             | entry::Output::Notice(_)
             | entry::Output::RequestStarted(_)
--- a/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
+++ b/crates/core/tests/regression/session_of_another_entry_was_drawn.rs
@@ -62,7 +62,7 @@
 /// What one entry tells the others.
 fn handed_on(output: &Output) -> Option<Input> {
     match output {
-        Output::SessionPin(stay) => Some(Input::SessionPin(stay.clone())),
+        Output::SessionAffinity(stay) => Some(Input::SessionAffinity(stay.clone())),
         _ => None,
     }
 }
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -380,7 +380,7 @@
             Output::Suspect(version) => warn!("version {version} is held back here"),
             Output::RequestEnded(done) => self.metrics.ended(&done),
             // Sidecars tell all entries what waits to be read.
-            Output::Prefill(..) | Output::SessionPin(..) => {}
+            Output::Prefill(..) | Output::SessionAffinity(..) => {}
             Output::QuarantineUpdate(word) => self.tell_all(&word),
             // What is held back is remembered by the sidecars, which pass the words on.
             Output::RecordQuarantine(_) => {}
--- a/crates/daemon/src/hosted/event_loop.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -558,7 +558,7 @@
                     self.handle(Input::ReleaseReport(pool, hall, report))
                 }
                 Command::Prefill(number, reading) => self.handle(Input::Prefill(number, reading)),
-                Command::Affinity(stay) => self.handle(Input::SessionPin(stay)),
+                Command::Affinity(stay) => self.handle(Input::SessionAffinity(stay)),
                 Command::Quarantine(word) => self.handle(Input::QuarantineUpdate(word)),
                 Command::Notice(word) => self.handle(Input::Notice(word)),
             }
@@ -882,7 +882,7 @@
             Output::Send(_, Frame::Cancel(run)) => drop(self.runs.remove(&run)),
             Output::Answer(request, part) => self.answer(request, part),
             Output::Prefill(number, reading) => self.relay.share_prefill(number, reading),
-            Output::SessionPin(stay) => self.relay.share_affinity(stay, self.clock.now()),
+            Output::SessionAffinity(stay) => self.relay.share_affinity(stay, self.clock.now()),
             Output::QuarantineUpdate(word) => self.relay.share_quarantine(word, self.clock.now()),
             Output::Notice(word) => self.relay.share_notice(word),
             Output::RequestStarted(account) => {
