--- a/crates/core/src/entry/admit.rs
+++ b/crates/core/src/entry/admit.rs
@@ -1,24 +1,23 @@
-//! How an entry takes a request in: who asks, for what, and whether the limits
-//! allow it.
+//! Admission of requests: identifies the caller and the target and checks the limits.
 
 use super::flight::{Flight, Goal};
 use super::*;
 
-/// A request that was not taken in.
-struct Refused {
+/// A refused request.
+struct Refusal {
     failure: Failure,
-    done: Summary,
+    summary: Summary,
 }
 
-impl Refused {
+impl Refusal {
     fn new(
         request: RequestId,
         account: Option<AccountId>,
         class: Class,
         plain: bool,
         failure: Failure,
-    ) -> Box<Refused> {
-        let done = Summary {
+    ) -> Box<Refusal> {
+        let summary = Summary {
             request,
             account,
             class,
@@ -27,130 +26,141 @@
             duration: Span::default(),
             failure: Some(failure.reason),
         };
-        Box::new(Refused { failure, done })
+        Box::new(Refusal { failure, summary })
     }
 }
 
 impl Entry {
-    pub(super) fn ask(&mut self, now: Time, ask: Request, out: &mut Outputs) {
-        let request = ask.request;
+    pub(super) fn handle_request(&mut self, now: Time, incoming: Request, out: &mut Outputs) {
+        let request = incoming.request;
         self.history
-            .begin(request, self.tree.revision(), ask.payload.name());
-        let admitted = self.admit(now, ask);
+            .begin(request, self.tree.revision(), incoming.payload.name());
+        let admitted = self.admit(now, incoming);
         if let Ok((flight, _)) = &admitted {
             let fingerprint = Some(flight.fingerprint);
-            self.history.note(request, |d| d.fingerprint = fingerprint);
+            self.history
+                .update(request, |d| d.fingerprint = fingerprint);
         }
         match admitted {
             Ok((flight, Action::Route)) => self.begin(now, flight, out),
             Ok((flight, action)) => self.forward(now, flight, action, out),
             Err(refused) => {
-                let Refused { failure, done } = *refused;
+                let Refusal { failure, summary } = *refused;
                 self.history
-                    .note(request, |d| d.failure = Some(failure.clone()));
+                    .update(request, |d| d.failure = Some(failure.clone()));
                 out.push(Output::Answer(request, Part::Fail(failure)));
-                out.push(Output::RequestEnded(done));
+                out.push(Output::RequestEnded(summary));
             }
         }
     }
 
-    /// Finds what the request is to get, and takes it in if its client account
-    /// and the limits allow.
-    fn admit(&mut self, now: Time, ask: Request) -> Result<(Flight, Action), Box<Refused>> {
-        let request = ask.request;
-        let plain = matches!(ask.payload, Payload::Plain(_));
-        let refused = |failure| Refused::new(request, None, Class::default(), plain, failure);
-        if self.leaving {
+    /// Resolves the client account and the target of a request and admits it if both allow it and
+    /// the limits leave room.
+    fn admit(&mut self, now: Time, incoming: Request) -> Result<(Flight, Action), Box<Refusal>> {
+        let request = incoming.request;
+        let plain = matches!(incoming.payload, Payload::Plain(_));
+        let refused = |failure| Refusal::new(request, None, Class::default(), plain, failure);
+        if self.draining {
             let failure = Failure::not_run(Reason::Leaving, "this entry is about to stop");
             return Err(refused(failure.retry_after(Span::default())));
         }
-        if matches!(ask.payload, Payload::Routed(_)) {
-            return self.admit_routed(now, ask);
+        if matches!(incoming.payload, Payload::Routed(_)) {
+            return self.admit_routed(now, incoming);
         }
         let caller = Caller {
-            key: ask.key.as_deref(),
-            route: ask.route.as_deref(),
-            class: ask.class.as_deref(),
+            key: incoming.key.as_deref(),
+            route: incoming.route.as_deref(),
+            class: incoming.class.as_deref(),
         };
-        let site = route::identify(&self.tree, &caller).map_err(refused)?;
-        self.history.note(ask.request, |d| {
-            d.node = Some(site.path.clone());
-            d.account = Some(site.account.clone());
-            d.class = Some(site.class);
+        let context = route::identify(&self.tree, &caller).map_err(refused)?;
+        self.history.update(incoming.request, |d| {
+            d.node = Some(context.path.clone());
+            d.account = Some(context.account.clone());
+            d.class = Some(context.class);
         });
-        let (account, class) = (site.account.clone(), site.class);
-        let refused = |failure| Refused::new(request, Some(account.clone()), class, plain, failure);
-        let action = site.node.action();
-        let flight = self.prepare(now, ask, site).map_err(refused)?;
+        let (account, class) = (context.account.clone(), context.class);
+        let refused = |failure| Refusal::new(request, Some(account.clone()), class, plain, failure);
+        let action = context.node.action();
+        let flight = self.prepare(now, incoming, context).map_err(refused)?;
         if action == Action::Route {
             let tokens = flight.prompt_tokens() + flight.chat().map_or(0, |c| c.max_tokens);
             self.limits
-                .admit(&flight.site.account, &flight.site.node, tokens, now)
+                .admit(&flight.context.account, &flight.context.node, tokens, now)
                 .map_err(refused)?;
         }
         Ok((flight, action))
     }
 
-    /// Takes in a request that a route describes.
-    fn admit_routed(&mut self, now: Time, ask: Request) -> Result<(Flight, Action), Box<Refused>> {
-        let request = ask.request;
-        let refused = |failure| Refused::new(request, None, Class::default(), false, failure);
-        let Payload::Routed(routed) = &ask.payload else {
+    /// Admits a request that matches a route.
+    fn admit_routed(
+        &mut self,
+        now: Time,
+        incoming: Request,
+    ) -> Result<(Flight, Action), Box<Refusal>> {
+        let request = incoming.request;
+        let refused = |failure| Refusal::new(request, None, Class::default(), false, failure);
+        let Payload::Routed(routed) = &incoming.payload else {
             unreachable!("only routed requests come here");
         };
-        let located = self.locate(routed, ask.key.as_deref());
-        let (site, terms) = located.map_err(refused)?;
-        self.history.note(ask.request, |d| {
-            d.account = Some(site.account.clone());
-            d.class = Some(site.class);
+        let resolved = self.resolve_route(routed, incoming.key.as_deref());
+        let (context, route_state) = resolved.map_err(refused)?;
+        self.history.update(incoming.request, |d| {
+            d.account = Some(context.account.clone());
+            d.class = Some(context.class);
         });
-        let timeout = terms.route.timeout;
-        let left = routed.time_left.map_or(timeout, |left| left.min(timeout));
-        let once = !terms.route.may_repeat();
-        let mut flight = Flight::new(ask, site, now, now + left);
+        let timeout = route_state.route.timeout;
+        let time_left = routed
+            .time_left
+            .map_or(timeout, |time_left| time_left.min(timeout));
+        let at_most_once = !route_state.route.may_repeat();
+        let mut flight = Flight::new(incoming, context, now, now + time_left);
         flight.goal = Goal::Routed;
-        flight.once = once;
-        flight.terms = Some(terms);
+        flight.at_most_once = at_most_once;
+        flight.route_state = Some(route_state);
         Ok((flight, Action::Route))
     }
 
     pub(super) fn prepare(
         &self,
         now: Time,
-        ask: Request,
-        site: Context,
+        incoming: Request,
+        context: Context,
     ) -> Result<Flight, Failure> {
-        let (goal, pool, once) = match &ask.payload {
+        let (goal, pool, at_most_once) = match &incoming.payload {
             Payload::Chat(chat) => {
-                let goal = route::target(&self.tree, &site, &chat.model)?;
+                let goal = route::target(&self.tree, &context, &chat.model)?;
                 (Goal::from(goal), None, false)
             }
             Payload::Routed(_) => (Goal::Routed, None, false),
             Payload::Plain(call) => {
-                let (pool, once) = self.service(&site, call)?;
-                (Goal::Service, Some(pool), once)
+                let (pool, at_most_once) = self.service(&context, call)?;
+                (Goal::Service, Some(pool), at_most_once)
             }
         };
-        let session = self.open_session(&ask, &site)?;
-        let deadline = now + site.node.deadline();
-        let once = once || ask.at_most_once;
-        let mut flight = Flight::new(ask, site, now, deadline);
+        let session = self.open_session(&incoming, &context)?;
+        let deadline = now + context.node.deadline();
+        let at_most_once = at_most_once || incoming.at_most_once;
+        let mut flight = Flight::new(incoming, context, now, deadline);
         flight.session = session;
         flight.goal = goal;
-        flight.once = once;
+        flight.at_most_once = at_most_once;
         if let Some(pool) = pool {
             flight.pool = pool;
         }
         Ok(flight)
     }
 
-    pub(super) fn service(&self, site: &Context, call: &Call) -> Result<(PoolId, bool), Failure> {
+    pub(super) fn service(
+        &self,
+        context: &Context,
+        call: &Call,
+    ) -> Result<(PoolId, bool), Failure> {
         let unknown =
             || Failure::not_run(Reason::UnknownPath, format!("there is no {}", call.path));
         let (name, pool) = self.tree.service_of_path(&call.path).ok_or_else(unknown)?;
         debug_assert_eq!(pool.kind, Kind::Plain);
-        if !site.node.allows_service(name) {
-            let message = format!("client account {} may not call {name}", site.account);
+        if !context.node.allows_service(name) {
+            let message = format!("client account {} may not call {name}", context.account);
             return Err(Failure::not_run(Reason::NotAllowed, message));
         }
         Ok((name.clone(), !pool.may_repeat(&call.method)))
@@ -158,10 +168,10 @@
 
     pub(super) fn open_session(
         &self,
-        ask: &Request,
-        site: &Context,
+        incoming: &Request,
+        context: &Context,
     ) -> Result<Option<Session>, Failure> {
-        let (Some(token), Payload::Chat(chat)) = (&ask.session, &ask.payload) else {
+        let (Some(token), Payload::Chat(chat)) = (&incoming.session, &incoming.payload) else {
             return Ok(None);
         };
         let bad = |message: &str| Failure::not_run(Reason::BadSession, message);
@@ -170,7 +180,7 @@
             .keys
             .open(token)
             .map_err(|e| bad(&e.to_string()))?;
-        if session.account != site.account {
+        if session.account != context.account {
             return Err(bad("the session belongs to another client account"));
         }
         if session.model != chat.model {
@@ -179,7 +189,8 @@
         Ok(Some(session))
     }
 
-    /// Hands a request to the old scripts, with our own decision noted.
+    /// Forwards a request to the legacy scripts; with [`Action::Observe`], also records the
+    /// decision that the entry would have made.
     pub(super) fn forward(
         &mut self,
         now: Time,
@@ -187,22 +198,22 @@
         action: Action,
         out: &mut Outputs,
     ) {
-        let request = flight.ask.request;
+        let request = flight.request.request;
         if action == Action::Observe {
-            let outcome = match self.choose(&mut flight) {
+            let outcome = match self.select_version(&mut flight) {
                 Ok(()) => "observed only".to_owned(),
                 Err(failure) => failure.to_string(),
             };
-            self.note_try(now, &flight, None, outcome);
+            self.record_attempt(now, &flight, None, outcome);
         }
-        let address = flight.site.node.forward_to.clone().unwrap_or_default();
+        let address = flight.context.node.forward_to.clone().unwrap_or_default();
         out.push(Output::Forward(request, address));
     }
 
     pub(super) fn begin(&mut self, now: Time, flight: Flight, out: &mut Outputs) {
-        let request = flight.ask.request;
-        let claim = match (&flight.ask.idempotency_key, flight.once) {
-            (Some(key), true) => Some(format!("claim/{}/{key}", flight.site.account)),
+        let request = flight.request.request;
+        let claim = match (&flight.request.idempotency_key, flight.at_most_once) {
+            (Some(key), true) => Some(format!("claim/{}/{key}", flight.context.account)),
             _ => None,
         };
         self.flights.insert(request, flight);
@@ -212,7 +223,7 @@
         }
     }
 
-    pub(super) fn claimed(
+    pub(super) fn on_claimed(
         &mut self,
         now: Time,
         request: RequestId,
@@ -221,7 +232,7 @@
     ) {
         match claim {
             Ok(()) => self.dispatch(now, request, out),
-            Err(failure) => self.give_up(now, request, failure, out),
+            Err(failure) => self.fail(now, request, failure, out),
         }
     }
 }
--- a/crates/core/src/entry/answer.rs
+++ b/crates/core/src/entry/answer.rs
@@ -1,6 +1,6 @@
-//! What an entry does with the frames of a sidecar and with failures.
+//! Handles the frames of sidecars, delivers answers and recovers from failed attempts.
 
-use super::flight::{Flight, Goal, Whole};
+use super::flight::{Buffered, Flight, Goal};
 use super::*;
 use crate::header;
 use crate::notice::Notice;
@@ -8,14 +8,14 @@
 use crate::release::SESSION_TTL;
 use crate::wire::{Confidence, Header, Usage, Welcome};
 
-/// An accepted answer of a cascade's step and what it is told by.
+/// What the end of a run reports.
 struct Finish {
     usage: Usage,
     confidence: Option<Confidence>,
 }
 
 impl Entry {
-    pub(super) fn frame(&mut self, now: Time, link: Link, frame: Frame, out: &mut Outputs) {
+    pub(super) fn on_frame(&mut self, now: Time, link: Link, frame: Frame, out: &mut Outputs) {
         match frame {
             Frame::Welcome(welcome) => self.welcome(now, link, welcome, out),
             Frame::Head {
@@ -26,10 +26,10 @@
             } => {
                 self.peers.report(link, load, now);
                 self.peers.answered(link, now);
-                self.note_rest(link, header::retry_after(status, &headers), now);
-                self.head(now, run, status, headers, out);
+                self.apply_pause(link, header::retry_after(status, &headers), now);
+                self.on_head(now, run, status, headers, out);
             }
-            Frame::Data { run, seq, data } => self.data(now, run, seq, data, out),
+            Frame::Data { run, seq, data } => self.on_data(now, run, seq, data, out),
             Frame::End {
                 run,
                 parts,
@@ -38,9 +38,9 @@
                 record,
                 load,
             } => {
-                self.report(now, link, run, load, record);
+                self.on_run_end(now, link, run, load, record);
                 let finish = Finish { usage, confidence };
-                self.end(now, run, parts, finish, out);
+                self.on_end(now, run, parts, finish, out);
             }
             Frame::Fail {
                 run,
@@ -48,18 +48,18 @@
                 record,
                 load,
             } => {
-                self.report(now, link, run, load, record);
-                let is_its_own = failure.reason == Reason::UpstreamFailed;
-                if is_its_own && failure.verdict == Verdict::NotRun {
-                    self.note_rest(link, failure.retry_after, now);
+                self.on_run_end(now, link, run, load, record);
+                let is_upstream_error = failure.reason == Reason::UpstreamFailed;
+                if is_upstream_error && failure.verdict == Verdict::NotRun {
+                    self.apply_pause(link, failure.retry_after, now);
                 }
-                self.failed(now, run, failure, out);
+                self.on_failure(now, run, failure, out);
             }
             Frame::Load(load) => self.peers.report(link, load, now),
             Frame::Goodbye => self.peers.mark_leaving(link),
-            Frame::Revision(revision) => self.compare(link, revision, out),
+            Frame::Revision(revision) => self.compare_revisions(link, revision, out),
             Frame::FetchChanges(revision) => out.push(Output::Ahead(link, revision)),
-            Frame::Billed(runs) => self.held.remove(&runs),
+            Frame::Billed(runs) => self.spool.remove(&runs),
             Frame::Grant { account, share } if !self.settings.even_limits => {
                 self.limits.set_share(&account, share, now);
             }
@@ -68,13 +68,13 @@
                 evidence,
                 bad,
             } => {
-                if self.watch.merge_pooled(&version, evidence, bad) {
+                if self.monitor.merge_pooled(&version, evidence, bad) {
                     out.push(Output::Suspect(version));
                 }
             }
-            Frame::Quarantine(words) => {
-                for word in words {
-                    self.take_word(now, word);
+            Frame::Quarantine(updates) => {
+                for update in updates {
+                    self.apply_quarantine_update(now, update);
                 }
             }
             Frame::FetchTables(_)
@@ -99,14 +99,14 @@
             ..Placement::default()
         };
         self.peers.set_placement(link, place);
-        // Its sidecar knows what still holds, and says it with the next refusal.
+        // Notices that still hold are repeated by the sidecar with its next refusal.
         self.peers.forget_notices(link);
         self.peers.joined(link, now);
         self.peers.report(link, welcome.load, now);
-        self.compare(link, welcome.revision, out);
+        self.compare_revisions(link, welcome.revision, out);
     }
 
-    fn compare(&self, link: Link, theirs: Revision, out: &mut Outputs) {
+    fn compare_revisions(&self, link: Link, theirs: Revision, out: &mut Outputs) {
         let own = self.tree.revision();
         if theirs > own {
             out.push(Output::Behind(link));
@@ -116,8 +116,9 @@
         }
     }
 
-    /// Takes in what the end of a run tells, whether or not it is still wanted.
-    fn report(
+    /// Processes the load and the bill record at the end of a run, even if the run is no longer
+    /// current.
+    fn on_run_end(
         &mut self,
         now: Time,
         link: Link,
@@ -127,30 +128,30 @@
     ) {
         self.peers.report(link, load, now);
         if let Some(record) = record {
-            self.hold_record(record, link, now);
+            self.spool_record(record, link, now);
         }
         let current = self.flights.get(&run.request).is_some_and(|f| f.run == run);
         if current {
-            self.landed(run.request);
+            self.finish_run(run.request);
         }
     }
 
-    /// Notes that an upstream behind a sidecar wants no requests for this long.
-    fn note_rest(&mut self, link: Link, rest: Option<Span>, now: Time) {
+    /// Records that an upstream behind a sidecar asked to receive no requests for this long.
+    fn apply_pause(&mut self, link: Link, pause: Option<Span>, now: Time) {
         let notice = Notice {
-            pause: rest,
+            pause,
             ..Notice::default()
         };
         self.peers.apply_notice(link, notice, Time::default(), now);
     }
 
-    /// Notes that the run under way is no longer at its upstream.
-    pub(super) fn landed(&mut self, request: RequestId) {
-        self.end_reading(request);
+    /// Removes the current run of a request from its upstream and from the count of its version.
+    pub(super) fn finish_run(&mut self, request: RequestId) {
+        self.finish_prefill(request);
         let Some(flight) = self.flights.get_mut(&request) else {
             return;
         };
-        let Some(link) = flight.at.take() else {
+        let Some(link) = flight.link.take() else {
             return;
         };
         self.peers.ended(link);
@@ -161,32 +162,39 @@
         }
     }
 
-    /// Returns the flight whose present run this is.
+    /// Returns the in-flight request whose current run this is.
     pub(super) fn flight(&mut self, run: Run) -> Option<&mut Flight> {
         self.flights.get_mut(&run.request).filter(|f| f.run == run)
     }
 
-    fn head(&mut self, now: Time, run: Run, status: u16, headers: Vec<Header>, out: &mut Outputs) {
+    fn on_head(
+        &mut self,
+        now: Time,
+        run: Run,
+        status: u16,
+        headers: Vec<Header>,
+        out: &mut Outputs,
+    ) {
         let Some(flight) = self.flight(run) else {
             return;
         };
         flight.verdict = Verdict::Ran;
-        flight.late = now > flight.deadline;
+        flight.past_deadline = now > flight.deadline;
         flight.status = status;
         flight.headers = headers;
-        if flight.is_judged() {
+        if flight.is_buffered() {
             return;
         }
-        self.give_head(now, run.request, out);
+        self.send_head(now, run.request, out);
     }
 
-    /// Gives the caller the head of the answer, with what sorreldeck adds.
-    fn give_head(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
+    /// Sends the head of the answer to the caller, with the headers that sorreldeck adds.
+    fn send_head(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
         let token = self.seal_session(request);
         let Some(flight) = self.flights.get_mut(&request) else {
             return;
         };
-        let once = !flight.headed;
+        let is_first = !flight.head_sent;
         let mut headers = flight.headers.clone();
         headers.push(Header::new(header::REQUEST, request));
         headers.push(Header::new(header::VERDICT, Verdict::Ran));
@@ -202,10 +210,10 @@
         if let Some(token) = token {
             headers.push(Header::new(header::SESSION, token));
         }
-        flight.headed = true;
-        flight.first = Some(now);
+        flight.head_sent = true;
+        flight.first_byte_at = Some(now);
         let status = flight.status;
-        if self.promises.check(Invariant::WholeAnswer, once) {
+        if self.invariants.check(Invariant::WholeAnswer, is_first) {
             out.push(Output::Answer(request, Part::Head { status, headers }));
         }
     }
@@ -214,7 +222,7 @@
         let nonce = self.nonce();
         let flight = self.flights.get(&request)?;
         let session = Session {
-            account: flight.site.account.clone(),
+            account: flight.context.account.clone(),
             model: flight.chat()?.model.clone(),
             version: flight.version()?.clone(),
             upstream: flight.upstream.clone(),
@@ -222,60 +230,60 @@
         Some(self.settings.keys.seal(&session, nonce))
     }
 
-    fn data(&mut self, now: Time, run: Run, seq: u32, data: Vec<u8>, out: &mut Outputs) {
+    fn on_data(&mut self, now: Time, run: Run, seq: u32, data: Vec<u8>, out: &mut Outputs) {
         let sampled = self.settings.sample > Share::NONE;
         let Some(flight) = self.flight(run) else {
             return;
         };
         let in_order = flight.parts == seq;
         flight.parts += 1;
-        let judged = flight.is_judged();
+        let judged = flight.is_buffered();
         if judged || (sampled && flight.chat().is_some()) {
-            flight.text.extend_from_slice(&data);
+            flight.body.extend_from_slice(&data);
         }
-        if !self.promises.check(Invariant::WholeAnswer, in_order) {
+        if !self.invariants.check(Invariant::WholeAnswer, in_order) {
             let message = "a part of the answer is missing";
             let failure = Failure::new(Reason::Invariant, Verdict::Ran, message);
-            return self.abandon(now, run, failure, out);
+            return self.abort_run(now, run, failure, out);
         }
         if !judged {
             out.push(Output::Answer(run.request, Part::Data(data)));
         }
     }
 
-    /// Stops a run that goes on and fails its request.
-    fn abandon(&mut self, now: Time, run: Run, failure: Failure, out: &mut Outputs) {
-        if let Some(link) = self.flight(run).and_then(|f| f.at) {
+    /// Cancels an active run and fails its request.
+    fn abort_run(&mut self, now: Time, run: Run, failure: Failure, out: &mut Outputs) {
+        if let Some(link) = self.flight(run).and_then(|f| f.link) {
             out.push(Output::Send(link, Frame::Cancel(run)));
         }
-        self.landed(run.request);
-        self.give_up(now, run.request, failure, out);
+        self.finish_run(run.request);
+        self.fail(now, run.request, failure, out);
     }
 
-    fn end(&mut self, now: Time, run: Run, parts: u32, finish: Finish, out: &mut Outputs) {
+    fn on_end(&mut self, now: Time, run: Run, parts: u32, finish: Finish, out: &mut Outputs) {
         let Some(flight) = self.flight(run) else {
             return;
         };
         let whole = flight.parts == parts;
         flight.verdict = Verdict::Ran;
-        if !self.promises.check(Invariant::WholeAnswer, whole) {
+        if !self.invariants.check(Invariant::WholeAnswer, whole) {
             let message = "the end of the answer is missing";
             let failure = Failure::new(Reason::Invariant, Verdict::Ran, message);
-            return self.give_up(now, run.request, failure, out);
+            return self.fail(now, run.request, failure, out);
         }
-        self.history.outcome(run.request, "answered");
+        self.history.set_outcome(run.request, "answered");
         let Some(flight) = self.flights.remove(&run.request) else {
             return;
         };
-        self.note_answered(now, &flight);
-        let failed = flight.late || flight.status >= 500;
+        self.record_answered(now, &flight);
+        let failed = flight.past_deadline || flight.status >= 500;
         if let Some(version) = flight.version() {
-            if self.watch.record_answer(&self.tree, version, failed) {
+            if self.monitor.record_answer(&self.tree, version, failed) {
                 out.push(Output::Suspect(version.clone()));
             }
         }
-        match flight.is_judged() {
-            true => self.judge(now, flight, finish, out),
+        match flight.is_buffered() {
+            true => self.evaluate(now, flight, finish, out),
             false => self.complete(now, flight, finish, out),
         }
     }
@@ -285,21 +293,21 @@
         let used = finish.usage.prompt + finish.usage.generated;
         if flight.chat().is_some() {
             let beyond = used as f64 - f64::from(expected);
-            self.limits.settle(&flight.site.account, beyond);
+            self.limits.settle(&flight.context.account, beyond);
         } else {
-            self.limits.settle(&flight.site.account, 0.0);
+            self.limits.settle(&flight.context.account, 0.0);
         }
-        self.sample(&flight, finish.confidence, true, out);
-        out.push(Output::Answer(flight.ask.request, Part::End));
-        out.push(Output::RequestEnded(done(&flight, now, None)));
+        self.submit_sample(&flight, finish.confidence, true, out);
+        out.push(Output::Answer(flight.request.request, Part::End));
+        out.push(Output::RequestEnded(summarize(&flight, now, None)));
     }
 
-    /// Accepts the answer of a cascade's step or asks the next one.
-    fn judge(&mut self, now: Time, mut flight: Flight, finish: Finish, out: &mut Outputs) {
+    /// Accepts the answer of a cascade step or escalates to the next step.
+    fn evaluate(&mut self, now: Time, mut flight: Flight, finish: Finish, out: &mut Outputs) {
         let Goal::Cascade(name, step) = flight.goal.clone() else {
             return;
         };
-        let class = flight.site.class;
+        let class = flight.context.class;
         let confidence = finish.confidence.map_or(0.0, |c| c.0);
         let draw = self.rng.random::<f64>();
         let next = self.next_step(&flight, &name, step);
@@ -308,9 +316,9 @@
         if let Some(policy) = self.policy_mut(&name, step, class) {
             policy.observe(confidence);
         }
-        self.sample(&flight, finish.confidence, accepted, out);
+        self.submit_sample(&flight, finish.confidence, accepted, out);
         if !accepted {
-            let kept = Whole {
+            let kept = Buffered {
                 version: flight
                     .version()
                     .cloned()
@@ -318,21 +326,21 @@
                 step,
                 status: flight.status,
                 headers: flight.headers.clone(),
-                body: std::mem::take(&mut flight.text),
+                body: std::mem::take(&mut flight.body),
                 confidence: finish.confidence,
             };
-            flight.kept = Some(kept);
+            flight.fallback = Some(kept);
             return self.escalate(now, flight, name, next.unwrap_or(step + 1), out);
         }
-        let body = std::mem::take(&mut flight.text);
-        self.give_whole(now, flight, body, finish, out);
+        let body = std::mem::take(&mut flight.body);
+        self.send_buffered(now, flight, body, finish, out);
     }
 
     fn next_step(&self, flight: &Flight, name: &CascadeId, step: usize) -> Option<usize> {
         let steps = &self.tree.cascade(name.as_str())?.steps;
         (step + 1..steps.len()).find(|i| {
             let version = &steps[*i].version;
-            flight.site.node.allows_version(version) && route::takes_work(&self.tree, version)
+            flight.context.node.allows_version(version) && route::takes_work(&self.tree, version)
         })
     }
 
@@ -344,7 +352,7 @@
         step: usize,
         out: &mut Outputs,
     ) {
-        let request = flight.ask.request;
+        let request = flight.request.request;
         flight.goal = Goal::Cascade(name, step);
         flight.run = Run {
             step: step as u16,
@@ -357,8 +365,8 @@
         self.dispatch(now, request, out);
     }
 
-    /// Gives a caller an answer that was held until it was judged.
-    fn give_whole(
+    /// Delivers an answer that was buffered until the cascade accepted it.
+    fn send_buffered(
         &mut self,
         now: Time,
         flight: Flight,
@@ -366,15 +374,17 @@
         finish: Finish,
         out: &mut Outputs,
     ) {
-        let request = flight.ask.request;
+        let request = flight.request.request;
         let wants_stream = flight.chat().is_some_and(|c| c.stream);
-        let good = flight.status < 300;
+        let succeeded = flight.status < 300;
         self.flights.insert(request, flight);
-        if let (true, true, Some(flight)) = (wants_stream, good, self.flights.get_mut(&request)) {
+        if let (true, true, Some(flight)) =
+            (wants_stream, succeeded, self.flights.get_mut(&request))
+        {
             flight.headers = vec![Header::new("content-type", "text/event-stream")];
         }
-        self.give_head(now, request, out);
-        let data = match wants_stream && good {
+        self.send_head(now, request, out);
+        let data = match wants_stream && succeeded {
             true => as_stream(&body),
             false => body,
         };
@@ -385,33 +395,33 @@
         let expected = flight.prompt_tokens() + flight.chat().map_or(0, |c| c.max_tokens);
         let used = finish.usage.prompt + finish.usage.generated;
         let beyond = used as f64 - f64::from(expected);
-        self.limits.settle(&flight.site.account, beyond);
+        self.limits.settle(&flight.context.account, beyond);
         out.push(Output::Answer(request, Part::End));
-        out.push(Output::RequestEnded(done(&flight, now, None)));
+        out.push(Output::RequestEnded(summarize(&flight, now, None)));
     }
 
-    fn failed(&mut self, now: Time, run: Run, failure: Failure, out: &mut Outputs) {
+    fn on_failure(&mut self, now: Time, run: Run, failure: Failure, out: &mut Outputs) {
         let Some(flight) = self.flight(run) else {
             return;
         };
         flight.verdict = flight.verdict.raise(failure.verdict);
-        flight.failed = Some(failure.clone());
+        flight.last_failure = Some(failure.clone());
         let version = flight.version().cloned();
         if failure.reason == Reason::UpstreamLost {
-            self.note_lost(now, run.request);
+            self.record_crash(now, run.request);
         }
-        self.history.outcome(run.request, failure.to_string());
+        self.history.set_outcome(run.request, failure.to_string());
         let failed = [Reason::UpstreamFailed, Reason::UpstreamLost].contains(&failure.reason);
         if let Some(version) = version.filter(|_| failed) {
-            if self.watch.record_answer(&self.tree, &version, true) {
+            if self.monitor.record_answer(&self.tree, &version, true) {
                 out.push(Output::Suspect(version));
             }
         }
-        self.settle(now, run.request, failure, out);
+        self.retry_or_fail(now, run.request, failure, out);
     }
 
-    /// Tries again after a failed try where that is allowed, or gives up.
-    pub(super) fn settle(
+    /// Retries a request after a failed attempt if that is allowed, or ends it.
+    pub(super) fn retry_or_fail(
         &mut self,
         now: Time,
         request: RequestId,
@@ -421,50 +431,50 @@
         if self
             .flights
             .get(&request)
-            .is_some_and(|f| f.terms.is_some())
+            .is_some_and(|f| f.route_state.is_some())
         {
-            return self.give_up(now, request, failure, out);
+            return self.fail(now, request, failure, out);
         }
-        match self.next_try(now, request, &failure) {
-            Next::Again if self.has_changed(request) => self.rechoose(now, request, out),
-            Next::Again => {
+        match self.next_action(now, request, &failure) {
+            Recovery::Retry if self.has_changed(request) => self.reselect(now, request, out),
+            Recovery::Retry => {
                 if let Some(flight) = self.flights.get_mut(&request) {
                     flight.run = flight.run.next_attempt();
                 }
                 self.dispatch(now, request, out);
             }
-            Next::Rechoose => self.rechoose(now, request, out),
-            Next::Wait => {
+            Recovery::Reselect => self.reselect(now, request, out),
+            Recovery::Wait => {
                 if let Some(flight) = self.flights.get_mut(&request) {
-                    flight.waiting = Some(now);
+                    flight.waiting_since = Some(now);
                 }
             }
-            Next::Kept => self.give_kept(now, request, out),
-            Next::GiveUp => self.give_up(now, request, failure, out),
+            Recovery::Fallback => self.send_fallback(now, request, out),
+            Recovery::Fail => self.fail(now, request, failure, out),
         }
     }
 
-    /// Returns whether the configuration has changed since the last try.
+    /// Returns whether the configuration changed since the last attempt.
     fn has_changed(&self, request: RequestId) -> bool {
         let flight = self.flights.get(&request);
         flight.is_some_and(|f| f.revision != self.tree.revision())
     }
 
-    fn next_try(&mut self, now: Time, request: RequestId, failure: &Failure) -> Next {
+    fn next_action(&mut self, now: Time, request: RequestId, failure: &Failure) -> Recovery {
         let Some(flight) = self.flights.get(&request) else {
-            return Next::GiveUp;
+            return Recovery::Fail;
         };
-        let fallback = match flight.kept {
-            Some(_) => Next::Kept,
-            None => Next::GiveUp,
+        let fallback = match flight.fallback {
+            Some(_) => Recovery::Fallback,
+            None => Recovery::Fail,
         };
-        let repeatable = failure.verdict.may_repeat() || !flight.once;
+        let repeatable = failure.verdict.may_repeat() || !flight.at_most_once;
         let time_left = now < flight.deadline;
-        let tries_left = flight.run.attempt + 1 < MAX_TRIES;
-        if flight.headed || !repeatable || !time_left || !tries_left {
+        let attempts_left = flight.run.attempt + 1 < MAX_ATTEMPTS;
+        if flight.head_sent || !repeatable || !time_left || !attempts_left {
             return fallback;
         }
-        if failure.reason == Reason::UpstreamLost && !self.may_follow(now, request) {
+        if failure.reason == Reason::UpstreamLost && !self.may_retry_after_crash(now, request) {
             return fallback;
         }
         let pool = flight.pool.clone();
@@ -474,27 +484,27 @@
             | Reason::LinkLost
             | Reason::UpstreamFailed
             | Reason::UpstreamLost
-            | Reason::ForeignAnswer => Next::Again,
-            // The sidecar knew a newer configuration than the entry did.
+            | Reason::ForeignAnswer => Recovery::Retry,
+            // The sidecar had a newer configuration than the entry.
             Reason::Withdrawn | Reason::Stale if flight.tried.is_empty() => return fallback,
             Reason::Withdrawn | Reason::Stale if flight.revision < self.tree.revision() => {
-                Next::Rechoose
+                Recovery::Reselect
             }
-            Reason::Withdrawn | Reason::Stale => Next::Wait,
+            Reason::Withdrawn | Reason::Stale => Recovery::Wait,
             _ => return fallback,
         };
-        match self.spend(now, &pool) {
+        match self.withdraw_retry(now, &pool) {
             true => next,
             false => fallback,
         }
     }
 
-    /// Gives the answer of an earlier step, since the later one has failed.
-    fn give_kept(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
+    /// Delivers the answer of an earlier cascade step after a later step failed.
+    fn send_fallback(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
         let Some(mut flight) = self.flights.remove(&request) else {
             return;
         };
-        let Some(kept) = flight.kept.take() else {
+        let Some(kept) = flight.fallback.take() else {
             return;
         };
         flight.status = kept.status;
@@ -507,42 +517,42 @@
             usage: Usage::default(),
             confidence: kept.confidence,
         };
-        self.give_whole(now, flight, kept.body, finish, out);
+        self.send_buffered(now, flight, kept.body, finish, out);
     }
 
-    /// Ends a request without a whole answer.
-    pub(super) fn give_up(
+    /// Ends a request without a complete answer.
+    pub(super) fn fail(
         &mut self,
         now: Time,
         request: RequestId,
         failure: Failure,
         out: &mut Outputs,
     ) {
-        self.landed(request);
+        self.finish_run(request);
         let Some(flight) = self.flights.remove(&request) else {
             return;
         };
         let mut failure = failure;
         if failure.reason == Reason::NoUpstream {
-            // That no further upstream is left says less than why one failed.
+            // The failure of an upstream tells the caller more than that no other upstream is left.
             let after = failure.retry_after;
-            failure = flight.failed.clone().unwrap_or(failure);
+            failure = flight.last_failure.clone().unwrap_or(failure);
             failure.retry_after = failure.retry_after.or(after);
         }
         failure.verdict = failure.verdict.raise(flight.verdict);
-        if flight.terms.is_some() && failure.verdict == Verdict::NotRun {
-            failure.retry_after.get_or_insert(routed::COME_BACK);
+        if flight.route_state.is_some() && failure.verdict == Verdict::NotRun {
+            failure.retry_after.get_or_insert(routed::MIN_RETRY_AFTER);
         }
         let truthful =
-            failure.verdict != Verdict::NotRun || flight.known_verdict() == Verdict::NotRun;
-        if !self.promises.check(Invariant::NotRun, truthful) {
+            failure.verdict != Verdict::NotRun || flight.current_verdict() == Verdict::NotRun;
+        if !self.invariants.check(Invariant::NotRun, truthful) {
             failure.verdict = Verdict::MayHaveRun;
         }
-        self.limits.settle(&flight.site.account, 0.0);
-        self.note_stay(now, &flight, SESSION_TTL);
+        self.limits.settle(&flight.context.account, 0.0);
+        self.set_session_affinity(now, &flight, SESSION_TTL);
         self.history
-            .note(request, |d| d.failure = Some(failure.clone()));
-        out.push(Output::RequestEnded(done(
+            .update(request, |d| d.failure = Some(failure.clone()));
+        out.push(Output::RequestEnded(summarize(
             &flight,
             now,
             Some(failure.reason),
@@ -550,74 +560,74 @@
         out.push(Output::Answer(request, Part::Fail(failure)));
     }
 
-    pub(super) fn gone(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
-        if self.forget_early(now, request, out) {
+    pub(super) fn on_disconnect(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
+        if self.drop_pending(now, request, out) {
             return;
         }
         let Some(flight) = self.flights.get(&request) else {
             return;
         };
-        if let Some(link) = flight.at {
+        if let Some(link) = flight.link {
             out.push(Output::Send(link, Frame::Cancel(flight.run)));
         }
-        let verdict = flight.known_verdict();
+        let verdict = flight.current_verdict();
         let failure = Failure::new(Reason::Cancelled, verdict, "the caller went away");
-        self.give_up(now, request, failure, out);
+        self.fail(now, request, failure, out);
     }
 
-    pub(super) fn link_down(&mut self, now: Time, link: Link, out: &mut Outputs) {
+    pub(super) fn on_link_down(&mut self, now: Time, link: Link, out: &mut Outputs) {
         self.peers.leave(link);
-        self.held.remove_link(link);
-        self.watch.mark_unsent();
+        self.spool.remove_link(link);
+        self.monitor.mark_unsent();
         let mut lost: Vec<RequestId> = self
             .flights
             .iter()
-            .filter(|(_, f)| f.at == Some(link))
+            .filter(|(_, f)| f.link == Some(link))
             .map(|(request, _)| *request)
             .collect();
         lost.sort_unstable();
         for request in lost {
-            self.landed(request);
+            self.finish_run(request);
             let Some(flight) = self.flights.get_mut(&request) else {
                 continue;
             };
             flight.verdict = flight.verdict.raise(Verdict::MayHaveRun);
             let verdict = flight.verdict;
             let failure = Failure::new(Reason::LinkLost, verdict, "the link to the upstream broke");
-            flight.failed = Some(failure.clone());
-            self.history.outcome(request, "link lost");
-            self.settle(now, request, failure, out);
+            flight.last_failure = Some(failure.clone());
+            self.history.set_outcome(request, "link lost");
+            self.retry_or_fail(now, request, failure, out);
         }
     }
 }
 
-/// What comes after a failed try.
-enum Next {
-    /// Try another upstream.
-    Again,
-    /// Choose the version anew.
-    Rechoose,
-    /// Wait for the newer configuration, which is on its way.
+/// The reaction to a failed attempt.
+enum Recovery {
+    /// Retry at another upstream.
+    Retry,
+    /// Choose a version again.
+    Reselect,
+    /// Wait for the newer configuration, which the link is already sending.
     Wait,
-    /// Give the answer of an earlier step.
-    Kept,
-    /// Tell the caller.
-    GiveUp,
+    /// Deliver the answer of an earlier cascade step.
+    Fallback,
+    /// End the request with the failure.
+    Fail,
 }
 
-pub(super) fn done(flight: &Flight, now: Time, failure: Option<Reason>) -> Summary {
+pub(super) fn summarize(flight: &Flight, now: Time, failure: Option<Reason>) -> Summary {
     Summary {
-        request: flight.ask.request,
-        account: Some(flight.site.account.clone()),
-        class: flight.site.class,
-        plain: matches!(flight.ask.payload, Payload::Plain(_)),
-        first_byte: flight.first.map(|t| t.since(flight.began)),
-        duration: now.since(flight.began),
+        request: flight.request.request,
+        account: Some(flight.context.account.clone()),
+        class: flight.context.class,
+        plain: matches!(flight.request.payload, Payload::Plain(_)),
+        first_byte: flight.first_byte_at.map(|t| t.since(flight.started_at)),
+        duration: now.since(flight.started_at),
         failure,
     }
 }
 
-/// Writes a whole answer as the stream that the caller asked for.
+/// Converts a complete answer to the event stream that the caller requested.
 fn as_stream(body: &[u8]) -> Vec<u8> {
     let Ok(mut answer) = serde_json::from_slice::<serde_json::Value>(body) else {
         return body.to_vec();
--- a/crates/core/src/entry/decision.rs
+++ b/crates/core/src/entry/decision.rs
@@ -1,4 +1,4 @@
-//! What was decided about a request and why, for `explain`.
+//! A bounded history of routing decisions, for `explain` and the request log.
 //!
 //! ```
 //! use sorreldeck::entry::History;
@@ -16,13 +16,13 @@
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 
-/// How many requests are remembered.
-const KEPT: usize = 4096;
+/// The maximum number of decisions kept.
+const MAX_DECISIONS: usize = 4096;
 
-/// One try of one step.
+/// One attempt of one step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The step of a cascade.
+    /// The index of the cascade step.
     pub step: u16,
     /// The version, or `None` for a plain service.
     pub version: Option<VersionId>,
@@ -30,17 +30,17 @@
     pub why: Option<Cause>,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// What was known of the upstream when it was chosen.
+    /// The load of the upstream when it was chosen.
     #[serde(default, rename = "known", skip_serializing_if = "Option::is_none")]
     pub snapshot: Option<Snapshot>,
-    /// What the run was expected to take there.
+    /// The expected time to the start of the answer.
     #[serde(default, rename = "due", skip_serializing_if = "Option::is_none")]
     pub forecast: Option<Forecast>,
-    /// What came of it, empty while it runs.
+    /// The outcome, or an empty string while the attempt runs.
     pub outcome: String,
 }
 
-/// What an entry knows of an upstream that it chooses.
+/// The load of an upstream when it was chosen.
 ///
 /// ```
 /// use sorreldeck::entry::Snapshot;
@@ -50,19 +50,19 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The requests that ran there by its latest report.
+    /// The number of running requests by its latest report.
     pub running: u32,
-    /// The requests that waited there.
+    /// The number of queued requests by its latest report.
     pub queued: u32,
-    /// The most that it runs at a time.
+    /// The maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// The age of that report in milliseconds.
+    /// The age of the report in milliseconds.
     pub age_ms: u64,
-    /// The requests of this entry that were there.
+    /// The number of requests of this entry at the upstream.
     pub own: u32,
 }
 
-/// What a run was expected to take at an upstream.
+/// The expected work of a run at its upstream.
 ///
 /// ```
 /// use sorreldeck::entry::Forecast;
@@ -72,12 +72,12 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forecast {
-    /// The tokens of the prompt that were to be read.
+    /// The prompt tokens that are not in the prefix cache of the upstream.
     #[serde(rename = "fresh")]
     pub uncached_tokens: u32,
-    /// The milliseconds put down to what was to be read there before.
+    /// The expected wait for earlier prefills at the upstream, in milliseconds.
     pub behind_ms: u64,
-    /// The milliseconds to the beginning of the answer.
+    /// The expected time to the start of the answer, in milliseconds.
     pub first_ms: u64,
 }
 
@@ -105,32 +105,32 @@
     }
 }
 
-/// What was decided about a request.
+/// The decision on a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decision {
-    /// The request.
+    /// The identifier of the request.
     pub request: String,
     /// The revision of the configuration.
     pub revision: Revision,
-    /// The node, where one was found.
+    /// The node, if one was found.
     pub node: Option<NodePath>,
     /// The client account.
     pub account: Option<AccountId>,
     /// The class.
     pub class: Option<Class>,
-    /// The model, cascade or path asked for.
+    /// The requested model or cascade, or the method and path.
     pub asked: String,
-    /// What the request is known by when it comes again, where it was taken in.
+    /// The fingerprint, if the request was admitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fingerprint: Option<Fingerprint>,
-    /// The tries, in order.
+    /// The attempts, in order.
     #[serde(rename = "tries")]
     pub attempts: Vec<Attempt>,
-    /// Why there was no answer.
+    /// The failure, if the request failed.
     pub failure: Option<Failure>,
 }
 
-/// The decisions about the latest requests.
+/// The decisions on the most recent requests.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     decisions: HashMap<RequestId, Decision>,
@@ -138,22 +138,22 @@
 }
 
 impl History {
-    /// Returns how many decisions are remembered.
+    /// Returns the number of decisions.
     pub fn len(&self) -> usize {
         self.decisions.len()
     }
 
-    /// Returns whether none is remembered.
+    /// Returns whether there are no decisions.
     pub fn is_empty(&self) -> bool {
         self.decisions.is_empty()
     }
 
-    /// Returns the decision about a request, if it is remembered.
+    /// Returns the decision on a request, if it is still kept.
     pub fn get(&self, request: RequestId) -> Option<&Decision> {
         self.decisions.get(&request)
     }
 
-    /// Starts a decision.
+    /// Adds the decision on a new request and drops the oldest one beyond the limit.
     pub fn begin(&mut self, request: RequestId, revision: Revision, asked: String) {
         let decision = Decision {
             request: request.to_string(),
@@ -168,23 +168,23 @@
         };
         self.decisions.insert(request, decision);
         self.order.push_back(request);
-        if self.order.len() > KEPT {
+        if self.order.len() > MAX_DECISIONS {
             if let Some(oldest) = self.order.pop_front() {
                 self.decisions.remove(&oldest);
             }
         }
     }
 
-    /// Changes the decision about a request, if it is remembered.
-    pub fn note(&mut self, request: RequestId, change: impl FnOnce(&mut Decision)) {
+    /// Updates the decision on a request, if it is still kept.
+    pub fn update(&mut self, request: RequestId, change: impl FnOnce(&mut Decision)) {
         if let Some(decision) = self.decisions.get_mut(&request) {
             change(decision);
         }
     }
 
-    /// Notes what came of the latest try.
-    pub fn outcome(&mut self, request: RequestId, outcome: impl Into<String>) {
-        self.note(request, |decision| {
+    /// Sets the outcome of the latest attempt.
+    pub fn set_outcome(&mut self, request: RequestId, outcome: impl Into<String>) {
+        self.update(request, |decision| {
             if let Some(last) = decision.attempts.last_mut() {
                 last.outcome = outcome.into();
             }
--- a/crates/core/src/entry/dispatch.rs
+++ b/crates/core/src/entry/dispatch.rs
@@ -1,30 +1,30 @@
-//! How an entry chooses version and upstream and sends a request there.
+//! Chooses the version and upstream of a request and sends it.
 
 use super::flight::{Flight, Goal};
 use super::*;
 
 impl Entry {
-    /// Chooses version and pool for the present step.
-    pub(super) fn choose(&mut self, flight: &mut Flight) -> Result<(), Failure> {
+    /// Chooses the version and pool of the current step.
+    pub(super) fn select_version(&mut self, flight: &mut Flight) -> Result<(), Failure> {
         let choice = match &flight.goal {
             Goal::Service | Goal::Routed => return Ok(()),
             Goal::Model(model) => {
                 let draw = self.rng.random::<f64>();
-                let (tree, watch) = (&self.tree, &self.watch);
-                let hold = self.settings.judge == Judge::Sequential;
+                let (tree, monitor) = (&self.tree, &self.monitor);
+                let sequential = self.settings.judge == Judge::Sequential;
                 let running = &self.running;
-                let suspect = |v: &VersionId| hold && watch.is_suspect(v);
+                let suspect = |v: &VersionId| sequential && monitor.is_suspect(v);
                 let session = flight.session.as_ref();
-                let fresh = session.is_none_or(|s| suspect(&s.version));
-                let over = |v: &VersionId| {
+                let new_session = session.is_none_or(|s| suspect(&s.version));
+                let exhausted = |v: &VersionId| {
                     let in_flight = running.get(v).copied().unwrap_or(0);
-                    hold && fresh && !watch.admits(tree, v, in_flight)
+                    sequential && new_session && !monitor.admits(tree, v, in_flight)
                 };
-                let avoid = |v: &VersionId| suspect(v) || over(v);
-                route::version(tree, &flight.site, model, session, draw, avoid)?
+                let avoid = |v: &VersionId| suspect(v) || exhausted(v);
+                route::version(tree, &flight.context, model, session, draw, avoid)?
             }
             Goal::Cascade(name, step) => {
-                let (choice, step) = self.step_of(flight, name, *step)?;
+                let (choice, step) = self.select_step(flight, name, *step)?;
                 flight.goal = Goal::Cascade(name.clone(), step);
                 flight.run.step = step as u16;
                 choice
@@ -37,8 +37,8 @@
         Ok(())
     }
 
-    /// Chooses the version of a cascade's step, from `step` on.
-    pub(super) fn step_of(
+    /// Chooses a cascade step with a usable version, starting at `step`.
+    pub(super) fn select_step(
         &mut self,
         flight: &Flight,
         name: &CascadeId,
@@ -46,69 +46,57 @@
     ) -> Result<(Choice, usize), Failure> {
         let tree = self.tree.clone();
         let usable = |v: &VersionId| {
-            flight.site.node.allows_version(v)
+            flight.context.node.allows_version(v)
                 && route::takes_work(&tree, v)
-                && !self.watch.is_suspect(v)
+                && !self.monitor.is_suspect(v)
         };
         let steps = tree.cascade(name.as_str()).map_or(&[][..], |c| &c.steps);
         if let Some(session) = &flight.session {
             if usable(&session.version) {
-                let why = Cause::Session;
+                let cause = Cause::Session;
                 let version = session.version.clone();
-                return Ok((
-                    Choice {
-                        version,
-                        cause: why,
-                    },
-                    steps.len(),
-                ));
+                return Ok((Choice { version, cause }, steps.len()));
             }
         }
         let left: Vec<usize> = (step..steps.len())
             .filter(|i| usable(&steps[*i].version))
             .collect();
         let draw = self.rng.random::<f64>();
-        let class = flight.site.class;
-        let asked = left.iter().copied().find(|i| {
+        let class = flight.context.class;
+        let selected = left.iter().copied().find(|i| {
             let last = left.last() == Some(i);
             last || self
                 .policy(name, *i, class)
                 .is_none_or(|p| p.should_query(draw))
         });
-        let index = asked.ok_or_else(|| {
+        let index = selected.ok_or_else(|| {
             let message = format!("no version of {name} that the account may use takes new work");
             Failure::not_run(Reason::Withdrawn, message)
         })?;
         let version = steps[index].version.clone();
-        let why = match &flight.session {
+        let cause = match &flight.session {
             Some(session) => Cause::Moved(session.version.clone()),
             None => Cause::Cascade(name.clone()),
         };
-        Ok((
-            Choice {
-                version,
-                cause: why,
-            },
-            index,
-        ))
+        Ok((Choice { version, cause }, index))
     }
 
-    /// Chooses version and upstream and sends the request there.
+    /// Chooses the version and upstream of a request and sends it, or handles the failure to do so.
     pub(super) fn dispatch(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
         let Some(mut flight) = self.flights.remove(&request) else {
             return;
         };
-        let sent = self.admit_again(now, &flight);
+        let sent = self.check_quarantine(now, &flight);
         let sent = sent.and_then(|()| match (&flight.goal, &flight.choice) {
             (Goal::Routed, _) => self.send_routed(now, &mut flight, out),
             (_, Some(_)) => self.send(now, &mut flight, out),
             (_, None) => self
-                .choose(&mut flight)
+                .select_version(&mut flight)
                 .and_then(|()| self.send(now, &mut flight, out)),
         });
         self.flights.insert(request, flight);
         if let Err(failure) = sent {
-            self.settle(now, request, failure, out);
+            self.retry_or_fail(now, request, failure, out);
         }
     }
 
@@ -122,17 +110,17 @@
         if flight.is_first() {
             self.budget(&flight.pool).deposit(now);
         }
-        let apart = self.apart(now, flight);
-        let wish = Criteria {
+        let avoided = self.avoided(now, flight);
+        let criteria = Criteria {
             pool: &flight.pool,
             tokens: flight.prompt_tokens(),
-            urgent: flight.site.class == Class::Priority,
-            // Upstreams behind sidecars name no rates.
+            urgent: flight.context.class == Class::Priority,
+            // Upstreams behind sidecars announce no rate limits, so the rank has no effect.
             rank: 0,
-            prefixes: flight.chain(),
+            prefixes: flight.prefixes(),
             shared_prefix: None,
             last_upstream: flight.session.as_ref().and_then(|s| s.upstream.as_ref()),
-            tried: &apart,
+            tried: &avoided,
             constraints: Constraints {
                 regions: flight.regions(),
                 ..Constraints::default()
@@ -143,21 +131,21 @@
         let draw = self.rng.random::<f64>();
         let link = self
             .peers
-            .choose_distinct(&wish, &flight.tried, self.settings.policy, now, draw)
+            .choose_distinct(&criteria, &flight.tried, self.settings.policy, now, draw)
             .map(|chosen| chosen.link)
             .ok_or_else(|| {
-                let opens = self.peers.available_in(&flight.pool, now);
-                let wait = opens.or_else(|| self.peers.min_wait(&flight.pool));
+                let available = self.peers.available_in(&flight.pool, now);
+                let wait = available.or_else(|| self.peers.min_wait(&flight.pool));
                 let wait = wait.unwrap_or(RETRY_AFTER).max(RETRY_AFTER);
-                routed::none_left(&flight.pool).retry_after(wait)
+                routed::no_upstream(&flight.pool).retry_after(wait)
             })?;
         self.begin_run(now, flight, link)?;
-        let start = self.start_of(now, flight);
+        let start = self.start_frame(now, flight);
         out.push(Output::Send(link, Frame::Start(Box::new(start))));
         Ok(())
     }
 
-    /// Checks that a request may go to an upstream and notes that it goes there.
+    /// Checks the invariants of sending a request to an upstream and records the attempt.
     pub(super) fn begin_run(
         &mut self,
         now: Time,
@@ -165,29 +153,29 @@
         link: Link,
     ) -> Result<(), Failure> {
         let working = self.peers.gets_work(link);
-        self.keep(Invariant::Leaving, working)?;
-        let once = !flight.once || flight.verdict.may_repeat();
-        self.keep(Invariant::AtMostOnce, once)?;
-        self.note_try(now, flight, Some(link), String::new());
+        self.ensure(Invariant::Leaving, working)?;
+        let may_run = !flight.at_most_once || flight.verdict.may_repeat();
+        self.ensure(Invariant::AtMostOnce, may_run)?;
+        self.record_attempt(now, flight, Some(link), String::new());
         self.peers
-            .sent(link, flight.prompt_tokens(), flight.chain(), now);
+            .sent(link, flight.prompt_tokens(), flight.prefixes(), now);
         if let Some(version) = flight.version() {
             *self.running.entry(version.clone()).or_default() += 1;
         }
-        flight.at = Some(link);
+        flight.link = Some(link);
         flight.upstream = self.peers.get(link).map(|p| p.upstream.clone());
         flight.tried.push(link);
         flight.revision = self.tree.revision();
         flight.parts = 0;
-        flight.text.clear();
+        flight.body.clear();
         Ok(())
     }
 
-    pub(super) fn keep(&mut self, promise: Invariant, held: bool) -> Result<(), Failure> {
-        match self.promises.check(promise, held) {
+    pub(super) fn ensure(&mut self, invariant: Invariant, held: bool) -> Result<(), Failure> {
+        match self.invariants.check(invariant, held) {
             true => Ok(()),
             false => {
-                let message = format!("promise {promise} would be broken");
+                let message = format!("promise {invariant} would be broken");
                 Err(Failure::not_run(Reason::Invariant, message))
             }
         }
@@ -198,33 +186,34 @@
             return Ok(());
         };
         let version = &choice.version;
-        let allowed = flight.site.node.allows_version(version);
-        self.keep(Invariant::AllowedVersion, allowed)?;
+        let allowed = flight.context.node.allows_version(version);
+        self.ensure(Invariant::AllowedVersion, allowed)?;
         let serving = route::takes_work(&self.tree, version);
         if !serving && flight.run.attempt > 0 {
-            // Withdrawn while another upstream was tried: a refusal, no breach.
+            // The version was withdrawn during an earlier attempt, which does not violate the
+            // invariant.
             return Err(Failure::not_run(
                 Reason::Withdrawn,
                 "the version was withdrawn",
             ));
         }
-        self.keep(Invariant::Withdrawn, serving)?;
+        self.ensure(Invariant::Withdrawn, serving)?;
         if let Some(session) = &flight.session {
             let kept = session.version == *version;
             let moved = choice.cause == Cause::Moved(session.version.clone());
-            let gone = !flight.site.node.allows_version(&session.version)
+            let gone = !flight.context.node.allows_version(&session.version)
                 || !route::takes_work(&self.tree, &session.version)
-                || self.watch.is_suspect(&session.version);
-            self.keep(Invariant::Session, kept || (moved && gone))?;
+                || self.monitor.is_suspect(&session.version);
+            self.ensure(Invariant::Session, kept || (moved && gone))?;
         }
         Ok(())
     }
 
-    pub(super) fn start_of(&self, now: Time, flight: &Flight) -> Start {
-        let call = match (&flight.ask.payload, flight.version()) {
+    pub(super) fn start_frame(&self, now: Time, flight: &Flight) -> Start {
+        let call = match (&flight.request.payload, flight.version()) {
             (Payload::Chat(chat), Some(version)) => {
-                let judged = flight.is_judged();
-                chat.call(version, chat.stream && !judged, judged)
+                let buffered = flight.is_buffered();
+                chat.call(version, chat.stream && !buffered, buffered)
             }
             (Payload::Chat(_), None) => unreachable!("a chat is sent after its version is chosen"),
             (Payload::Plain(call), _) => self.plain_call(call),
@@ -232,29 +221,29 @@
         };
         Start {
             run: flight.run,
-            account: flight.site.account.clone(),
-            weight: flight.site.node.weight(),
-            class: flight.site.class,
+            account: flight.context.account.clone(),
+            weight: flight.context.node.weight(),
+            class: flight.context.class,
             version: flight.version().cloned(),
             deadline_us: flight.deadline.since(now).micros(),
             tokens: flight.cost(),
-            may_queue: self.is_patient(flight),
+            may_queue: self.may_queue(flight),
             revision: self.tree.revision(),
             call,
             metadata: None,
         }
     }
 
-    /// Returns whether a request is to wait where it is sent. Urgent ones try
-    /// a few upstreams for a free place first: another try takes a millisecond,
-    /// a place falls free after some hundred.
-    pub(super) fn is_patient(&self, flight: &Flight) -> bool {
-        let urgent = flight.site.class == Class::Priority;
+    /// Returns whether a request may queue at its upstream. A priority request first tries a few
+    /// upstreams for a free slot: another attempt takes about 1 ms, while a slot becomes free after
+    /// about 100 ms.
+    pub(super) fn may_queue(&self, flight: &Flight) -> bool {
+        let urgent = flight.context.class == Class::Priority;
         let others = self.peers.available_count(&flight.pool) > flight.tried.len();
-        !urgent || !others || flight.run.attempt + 1 >= MAX_TRIES
+        !urgent || !others || flight.run.attempt + 1 >= MAX_ATTEMPTS
     }
 
-    /// Returns the call as the service sees it, without the prefix.
+    /// Returns the call with the path prefix of the service removed.
     pub(super) fn plain_call(&self, call: &Call) -> Call {
         let mut call = call.clone();
         let pool = self.tree.service_of_path(&call.path);
@@ -267,7 +256,7 @@
         call
     }
 
-    pub(super) fn note_try(
+    pub(super) fn record_attempt(
         &mut self,
         now: Time,
         flight: &Flight,
@@ -277,9 +266,9 @@
         let peer = link.and_then(|l| self.peers.get(l));
         let upstream = match peer {
             Some(peer) => peer.upstream.clone(),
-            None => "none".parse().expect("a legal name"),
+            None => "none".parse().expect("a valid name"),
         };
-        let try_ = Attempt {
+        let attempt = Attempt {
             step: flight.run.step,
             version: flight.version().cloned(),
             why: flight.choice.as_ref().map(|c| c.cause.clone()),
@@ -289,6 +278,6 @@
             outcome,
         };
         self.history
-            .note(flight.ask.request, |d| d.attempts.push(try_));
+            .update(flight.request.request, |d| d.attempts.push(attempt));
     }
 }
--- a/crates/core/src/entry/flight.rs
+++ b/crates/core/src/entry/flight.rs
@@ -1,7 +1,7 @@
-//! A request under way at an entry.
+//! The state of an in-flight request.
 
-use crate::entry::ask::{Chat, Payload, Request};
-use crate::entry::routed::Terms;
+use crate::entry::request::{Chat, Payload, Request};
+use crate::entry::routed::RouteState;
 use crate::failure::Failure;
 use crate::id::*;
 use crate::pick::{Link, Prefix};
@@ -12,55 +12,55 @@
 use crate::verdict::Verdict;
 use crate::wire::{Confidence, Header, Run};
 
-/// A request under way.
+/// An in-flight request.
 #[derive(Debug)]
 pub(super) struct Flight {
-    pub ask: Request,
-    pub site: Context,
-    /// By which the request is known when it comes again.
+    pub request: Request,
+    pub context: Context,
+    /// The same for every repetition of the request.
     pub fingerprint: Fingerprint,
     pub session: Option<Session>,
     pub goal: Goal,
     pub pool: PoolId,
     pub choice: Option<Choice>,
-    pub once: bool,
-    pub began: Time,
+    pub at_most_once: bool,
+    pub started_at: Time,
     pub deadline: Time,
     pub run: Run,
-    pub at: Option<Link>,
+    pub link: Option<Link>,
     pub upstream: Option<UpstreamId>,
     pub tried: Vec<Link>,
-    pub failed: Option<Failure>,
+    pub last_failure: Option<Failure>,
     pub verdict: Verdict,
-    pub waiting: Option<Time>,
+    pub waiting_since: Option<Time>,
     pub revision: Revision,
-    pub first: Option<Time>,
-    pub headed: bool,
-    pub late: bool,
+    pub first_byte_at: Option<Time>,
+    pub head_sent: bool,
+    pub past_deadline: bool,
     pub parts: u32,
-    pub text: Vec<u8>,
-    pub kept: Option<Whole>,
+    pub body: Vec<u8>,
+    pub fallback: Option<Buffered>,
     pub status: u16,
     pub headers: Vec<Header>,
-    pub terms: Option<Terms>,
+    pub route_state: Option<RouteState>,
 }
 
-/// What a request is to get.
+/// The target of a request.
 #[derive(Clone, Debug)]
 pub(super) enum Goal {
-    /// A call of a plain service.
+    /// A plain service.
     Service,
-    /// An answer of one version of a model.
+    /// One version of a model.
     Model(ModelId),
-    /// An answer of a cascade; the step is the index in its list.
+    /// A cascade and the index of its current step.
     Cascade(CascadeId, usize),
-    /// What a route of the tree describes.
+    /// A route of the settings tree.
     Routed,
 }
 
-/// A whole answer that is kept until it is known whether it is given.
+/// A buffered answer of an earlier cascade step, delivered if the later steps fail.
 #[derive(Clone, Debug)]
-pub(super) struct Whole {
+pub(super) struct Buffered {
     pub version: VersionId,
     pub step: usize,
     pub status: u16,
@@ -79,48 +79,48 @@
 }
 
 impl Flight {
-    /// Creates the flight of a request that has gone nowhere yet.
-    pub fn new(ask: Request, site: Context, began: Time, deadline: Time) -> Flight {
+    /// Creates the state of a request that has not been sent.
+    pub fn new(request: Request, context: Context, started_at: Time, deadline: Time) -> Flight {
         Flight {
-            run: Run::first(ask.request),
-            fingerprint: ask.payload.fingerprint(&site.account),
-            ask,
-            site,
+            run: Run::first(request.request),
+            fingerprint: request.payload.fingerprint(&context.account),
+            request,
+            context,
             session: None,
             goal: Goal::Service,
-            // A model's pool is known when its version is chosen.
-            pool: "none".parse().expect("a legal name"),
+            // A placeholder until the version is chosen, which determines the pool.
+            pool: "none".parse().expect("a valid name"),
             choice: None,
-            once: false,
-            began,
+            at_most_once: false,
+            started_at,
             deadline,
-            at: None,
+            link: None,
             upstream: None,
             tried: Vec::new(),
-            failed: None,
+            last_failure: None,
             verdict: Verdict::NotRun,
-            waiting: None,
+            waiting_since: None,
             revision: Revision(0),
-            first: None,
-            headed: false,
-            late: false,
+            first_byte_at: None,
+            head_sent: false,
+            past_deadline: false,
             parts: 0,
-            text: Vec::new(),
-            kept: None,
+            body: Vec::new(),
+            fallback: None,
             status: 0,
             headers: Vec::new(),
-            terms: None,
+            route_state: None,
         }
     }
 
     pub fn chat(&self) -> Option<&Chat> {
-        match &self.ask.payload {
+        match &self.request.payload {
             Payload::Chat(chat) => Some(chat),
             Payload::Plain(_) | Payload::Routed(_) => None,
         }
     }
 
-    /// Returns whether nothing was tried before the present run.
+    /// Returns whether the current run is the first attempt.
     pub fn is_first(&self) -> bool {
         self.run.attempt == 0 && self.run.step == 0
     }
@@ -130,67 +130,68 @@
     }
 
     pub fn prompt_tokens(&self) -> u32 {
-        match &self.ask.payload {
+        match &self.request.payload {
             Payload::Chat(chat) => chat.prompt_tokens,
             Payload::Plain(_) => 0,
             Payload::Routed(routed) => routed.tokens,
         }
     }
 
-    /// Returns the beginnings of the prompt that may be cached.
-    pub fn chain(&self) -> &[Prefix] {
-        match (&self.ask.payload, &self.terms) {
+    /// Returns the prompt prefixes that may be cached, shortest first.
+    pub fn prefixes(&self) -> &[Prefix] {
+        match (&self.request.payload, &self.route_state) {
             (Payload::Chat(chat), _) => chat.prefix.as_slice(),
             (Payload::Plain(_), _) => &[],
-            (Payload::Routed(_), Some(terms)) => &terms.chain,
+            (Payload::Routed(_), Some(route_state)) => &route_state.prefixes,
             (Payload::Routed(routed), None) => &routed.prefixes,
         }
     }
 
-    /// Names the beginnings of the prompt for the present model: what one model has
-    /// read is nothing to another.
-    pub fn name_chain(&mut self) {
-        let (Payload::Routed(routed), Some(terms)) = (&self.ask.payload, &mut self.terms) else {
+    /// Derives the prefix hashes for the current model, since models do not share their prefix
+    /// caches.
+    pub fn hash_prefixes(&mut self) {
+        let (Payload::Routed(routed), Some(route_state)) =
+            (&self.request.payload, &mut self.route_state)
+        else {
             return;
         };
-        let size = terms.size as u32;
-        let named = |p: &Prefix| Prefix {
+        let size = route_state.size_index as u32;
+        let rehashed = |p: &Prefix| Prefix {
             hash: p.hash.rotate_left(size) ^ u64::from(size),
             tokens: p.tokens,
         };
-        terms.chain = routed.prefixes.iter().map(named).collect();
+        route_state.prefixes = routed.prefixes.iter().map(rehashed).collect();
     }
 
-    /// Returns the longest beginning of the prompt that other requests share: all
-    /// but the last part, which is the request's or its session's own.
-    pub fn shared(&self) -> Option<Prefix> {
-        let chain = self.chain();
-        let before_last = chain.len().checked_sub(2)?;
-        chain.get(before_last).copied()
+    /// Returns the longest prompt prefix that other requests may share: the one before the last,
+    /// which ends with the content of the request or its session.
+    pub fn shared_prefix(&self) -> Option<Prefix> {
+        let prefixes = self.prefixes();
+        let before_last = prefixes.len().checked_sub(2)?;
+        prefixes.get(before_last).copied()
     }
 
-    /// Returns the expected cost at an upstream.
+    /// Returns the expected cost at an upstream, in generated tokens.
     pub fn cost(&self) -> u32 {
         self.chat().map_or(1, Chat::cost)
     }
 
-    /// Returns whether the answer of the present run is held until it is
-    /// judged.
-    pub fn is_judged(&self) -> bool {
-        matches!(self.goal, Goal::Cascade(..)) && self.kept_open()
+    /// Returns whether the answer of the current run is buffered until the cascade accepts or
+    /// rejects it.
+    pub fn is_buffered(&self) -> bool {
+        matches!(self.goal, Goal::Cascade(..)) && self.may_escalate()
     }
 
-    fn kept_open(&self) -> bool {
+    fn may_escalate(&self) -> bool {
         !matches!(
             self.choice.as_ref().map(|c| &c.cause),
             Some(Cause::Session | Cause::Moved(_))
         )
     }
 
-    /// Returns what is known now about whether the request ran, counting the
-    /// run that is under way.
-    pub fn known_verdict(&self) -> Verdict {
-        match self.at {
+    /// Returns whether the request may have run, including the active run.
+    pub fn current_verdict(&self) -> Verdict {
+        match self.link {
             Some(_) => self.verdict.raise(Verdict::MayHaveRun),
             None => self.verdict,
         }
--- a/crates/core/src/entry/guard.rs
+++ b/crates/core/src/entry/guard.rs
@@ -1,73 +1,73 @@
-//! How an entry keeps requests from upstreams that they would crash.
+//! Keeps requests that crash upstreams from being sent to further ones.
 //!
-//! What crashes each upstream that runs it is not known by the identity of a try: callers send it again
-//! under another one, to any entry. So what a run did to its upstream is held against what was asked
-//! ([`crate::quarantine`]), and every way to an upstream leads past [`Entry::admit_again`].
+//! A caller repeats such a request under a new identifier and to any entry, so crashes are
+//! attributed to the fingerprint of the content ([`crate::quarantine`]), and every path to an
+//! upstream calls [`Entry::check_quarantine`].
 
 use super::flight::Flight;
 use super::*;
-use crate::quarantine::{Admission, Change, Run as Sighting, Update};
+use crate::quarantine::{Admission, Change, Run as Observation, Update};
 use std::collections::BTreeSet;
 
-/// When the caller of a request that is being tried elsewhere may come back: a run that
-/// crashes its upstream does so some 100 ms after it began.
-const TRIAL: Span = Span::from_millis(1_000);
+/// The `Retry-After` of a request while a trial run of the same content is active. A run that
+/// crashes its upstream does so about 100 ms after its start.
+const TRIAL_RETRY_AFTER: Span = Span::from_millis(1_000);
 
 impl Entry {
-    /// Checks that a request may be sent to an upstream, the first time or once more: one that crashes
-    /// whatever runs it would take the whole pool with it.
-    pub(super) fn admit_again(&mut self, now: Time, flight: &Flight) -> Result<(), Failure> {
+    /// Checks before each attempt that a request is not quarantined: retries of a request that
+    /// crashes its upstream would take down the whole pool.
+    pub(super) fn check_quarantine(&mut self, now: Time, flight: &Flight) -> Result<(), Failure> {
         let after = match self.quarantine.admits(flight.fingerprint, now) {
             Admission::Allowed => return Ok(()),
-            Admission::Trial if !self.is_under_way(flight.fingerprint) => return Ok(()),
-            Admission::Trial => TRIAL,
+            Admission::Trial if !self.is_running(flight.fingerprint) => return Ok(()),
+            Admission::Trial => TRIAL_RETRY_AFTER,
             Admission::Held(left) => left,
         };
-        Err(held_back(flight.fingerprint).retry_after(after))
+        Err(quarantine_failure(flight.fingerprint).retry_after(after))
     }
 
-    /// Returns whether a request whose upstream crashed is to be sent to another by this entry. A
-    /// suspect is not while another run of it is under way: what comes of that one shows whether
-    /// it was the cause, before more upstreams are lost.
-    pub(super) fn may_follow(&self, now: Time, request: RequestId) -> bool {
+    /// Returns whether a request may be retried after its upstream crashed. A suspect is not
+    /// retried while another run of it is active: the outcome of that run shows whether the request
+    /// caused the crash, before further upstreams are lost.
+    pub(super) fn may_retry_after_crash(&self, now: Time, request: RequestId) -> bool {
         let Some(flight) = self.flights.get(&request) else {
             return false;
         };
         let fingerprint = flight.fingerprint;
-        !self.quarantine.is_suspect(fingerprint, now) || !self.is_under_way(fingerprint)
+        !self.quarantine.is_suspect(fingerprint, now) || !self.is_running(fingerprint)
     }
 
-    /// Returns whether a run of a request is at an upstream.
-    fn is_under_way(&self, fingerprint: Fingerprint) -> bool {
-        let is_there = |f: &Flight| f.fingerprint == fingerprint && f.at.is_some();
-        self.flights.values().any(is_there)
+    /// Returns whether a run with this fingerprint is active.
+    fn is_running(&self, fingerprint: Fingerprint) -> bool {
+        let is_match = |f: &Flight| f.fingerprint == fingerprint && f.link.is_some();
+        self.flights.values().any(is_match)
     }
 
-    /// Returns the upstreams to which a request had better not go: those it was sent to, and
-    /// where it is a suspect those of other suspects.
-    pub(super) fn apart(&self, now: Time, flight: &Flight) -> Vec<Link> {
+    /// Returns the upstreams that a request should avoid: those already tried and, for a suspect,
+    /// those that run other suspects.
+    pub(super) fn avoided(&self, now: Time, flight: &Flight) -> Vec<Link> {
         let mut avoided = flight.tried.clone();
         if self.quarantine.is_suspect(flight.fingerprint, now) {
             let suspects = |f: &&Flight| self.quarantine.is_suspect(f.fingerprint, now);
             let others = self.flights.values().filter(suspects);
-            avoided.extend(others.filter_map(|f| f.at));
+            avoided.extend(others.filter_map(|f| f.link));
         }
         avoided
     }
 
-    /// Notes that the upstream of a run went down.
-    pub(super) fn note_lost(&mut self, now: Time, request: RequestId) {
+    /// Records that the upstream of a run crashed.
+    pub(super) fn record_crash(&mut self, now: Time, request: RequestId) {
         let Some(flight) = self.flights.get(&request) else {
             return;
         };
         let Some(peer) = flight.tried.last().and_then(|link| self.peers.get(*link)) else {
             return;
         };
-        let number = peer.start_id();
-        let sighting = Sighting {
+        let start_id = peer.start_id();
+        let observation = Observation {
             fingerprint: flight.fingerprint,
             pool: &flight.pool,
-            upstream: number,
+            upstream: start_id,
             spread: spread(
                 &self.flights,
                 &self.peers,
@@ -75,46 +75,47 @@
                 flight.tried.last(),
             ),
         };
-        self.quarantine.record_crash(&sighting, now);
-        self.peers.suspect_restart_of_id(number);
+        self.quarantine.record_crash(&observation, now);
+        self.peers.suspect_restart_of_id(start_id);
     }
 
-    /// Takes in what another entry tells of requests under which upstreams crashed.
-    pub(super) fn take_word(&mut self, now: Time, word: Update) {
-        if let Update::Crashed { upstream, .. } = &word {
+    /// Applies another entry's report of a crash or of an answered suspect.
+    pub(super) fn apply_quarantine_update(&mut self, now: Time, update: Update) {
+        if let Update::Crashed { upstream, .. } = &update {
             self.peers.suspect_restart_of_id(*upstream);
         }
         let (flights, peers) = (&self.flights, &self.peers);
-        self.quarantine.merge(word, now, |fingerprint| {
+        self.quarantine.merge(update, now, |fingerprint| {
             spread(flights, peers, fingerprint, None)
         });
     }
 
-    /// Notes that a request was answered whole.
-    pub(super) fn note_answered(&mut self, now: Time, flight: &Flight) {
+    /// Records that a request was answered completely.
+    pub(super) fn record_answered(&mut self, now: Time, flight: &Flight) {
         if flight.status < 500 {
             self.quarantine
                 .record_answer(flight.fingerprint, &flight.pool, now);
         }
     }
 
-    /// Tells others what was found out about requests, and ends what is held back from now on.
-    pub(super) fn tell_of_quarantine(&mut self, now: Time, out: &mut Outputs) {
-        for news in self.quarantine.take_changes() {
-            match news {
+    /// Emits the changes of the quarantine and cancels the runs of requests that became
+    /// quarantined.
+    pub(super) fn emit_quarantine(&mut self, now: Time, out: &mut Outputs) {
+        for change in self.quarantine.take_changes() {
+            match change {
                 Change::Held(fingerprint, hold, crashes) => {
                     let left = hold.until.since(now).millis();
                     log::warn!(
                         "event=quarantined fingerprint={fingerprint} crashes={crashes} for_ms={left} before={}",
                         hold.previous
                     );
-                    self.end_held(now, fingerprint, out);
+                    self.cancel_quarantined(now, fingerprint, out);
                 }
                 Change::Freed(fingerprint) => {
                     log::info!("event=quarantine-lifted fingerprint={fingerprint} by=answer");
                 }
             }
-            out.push(Output::RecordQuarantine(news));
+            out.push(Output::RecordQuarantine(change));
         }
         out.extend(
             self.quarantine
@@ -124,45 +125,45 @@
         );
     }
 
-    /// Ends the runs of a request that is held back and that have not begun to answer, before
-    /// they crash their upstreams. Those that have would do so within some 100 ms; where they
-    /// do not, their whole answer frees the request.
-    fn end_held(&mut self, now: Time, fingerprint: Fingerprint, out: &mut Outputs) {
-        let has_begun = |f: &Flight| f.headed && f.at.is_some();
-        let is_there = |f: &Flight| f.fingerprint == fingerprint && !has_begun(f);
-        let runs = self.flights.iter().filter(|(_, f)| is_there(f));
+    /// Cancels the runs of a quarantined request that have not started to answer, before they crash
+    /// their upstreams. Runs that are answering continue: they would crash within about 100 ms, and
+    /// a complete answer lifts the quarantine.
+    fn cancel_quarantined(&mut self, now: Time, fingerprint: Fingerprint, out: &mut Outputs) {
+        let is_answering = |f: &Flight| f.head_sent && f.link.is_some();
+        let is_match = |f: &Flight| f.fingerprint == fingerprint && !is_answering(f);
+        let runs = self.flights.iter().filter(|(_, f)| is_match(f));
         let mut runs: Vec<(RequestId, Option<Link>, Run)> =
-            runs.map(|(request, f)| (*request, f.at, f.run)).collect();
+            runs.map(|(request, f)| (*request, f.link, f.run)).collect();
         runs.sort_unstable();
         for (request, link, run) in runs {
             out.extend(link.map(|link| Output::Send(link, Frame::Cancel(run))));
             if let Some(flight) = self.flights.get_mut(&request) {
-                flight.verdict = flight.known_verdict();
+                flight.verdict = flight.current_verdict();
             }
-            self.history.outcome(request, "broken off");
-            self.give_up(now, request, held_back(fingerprint), out);
+            self.history.set_outcome(request, "broken off");
+            self.fail(now, request, quarantine_failure(fingerprint), out);
         }
     }
 }
 
-/// Returns the share of a pool's upstreams, without the one that crashed, at which runs of
-/// a request are: so likely is it that it was at one which crashes for another reason. One
-/// such run says nothing: the caller may have sent what crashes upstreams twice.
+/// Returns the fraction of a pool's upstreams, without the crashed one, that run a request. This is
+/// the probability that the request ran by chance on an upstream that crashed for another reason.
+/// One run is not counted, since the caller may have sent a crashing request twice.
 fn spread(
     flights: &HashMap<RequestId, Flight>,
     peers: &Peers,
     fingerprint: Fingerprint,
     crashed: Option<&Link>,
 ) -> f64 {
-    let of = |f: &&Flight| f.fingerprint == fingerprint;
-    let links = flights.values().filter(of).filter_map(|f| f.at);
-    let there: BTreeSet<Link> = links.filter(|link| Some(link) != crashed).collect();
-    let pool = flights.values().find(of).map(|f| &f.pool);
+    let is_match = |f: &&Flight| f.fingerprint == fingerprint;
+    let links = flights.values().filter(is_match).filter_map(|f| f.link);
+    let links: BTreeSet<Link> = links.filter(|link| Some(link) != crashed).collect();
+    let pool = flights.values().find(is_match).map(|f| &f.pool);
     let all = pool.map_or(0, |pool| peers.available_count(pool));
-    there.len().saturating_sub(1) as f64 / all.saturating_sub(1).max(1) as f64
+    links.len().saturating_sub(1) as f64 / all.saturating_sub(1).max(1) as f64
 }
 
-fn held_back(fingerprint: Fingerprint) -> Failure {
+fn quarantine_failure(fingerprint: Fingerprint) -> Failure {
     let message = format!("upstreams crashed under request {fingerprint}, it is held back");
     Failure::not_run(Reason::Quarantined, message)
 }
--- a/crates/core/src/entry/learn.rs
+++ b/crates/core/src/entry/learn.rs
@@ -1,4 +1,4 @@
-//! What an entry learns from ratings, and what it reports once in a while.
+//! Processes ratings and sends periodic reports of demand and evidence.
 
 use super::flight::{Flight, Goal};
 use super::*;
@@ -6,54 +6,58 @@
 use crate::subset;
 use crate::wire::Confidence;
 
-/// How often reports go to the homes.
-const REPORT_EVERY: Span = Span::from_millis(500);
-/// How long a request waits for a configuration that an upstream has.
-const WAIT_FOR_TREE: Span = Span::from_millis(300);
-/// How often all evidence is sent again, to a home that may have lost it.
-const RESEND_EVERY: Span = Span::from_millis(10_000);
-/// The tokens of an average answer, by which prices are compared.
+/// The interval of reports to home sidecars.
+const REPORT_INTERVAL: Span = Span::from_millis(500);
+/// The maximum wait of a request for a configuration that its upstream already has.
+const MAX_TREE_WAIT: Span = Span::from_millis(300);
+/// The interval at which all evidence is sent again, in case a home sidecar lost it.
+const RESEND_INTERVAL: Span = Span::from_millis(10_000);
+/// The prompt and answer tokens of an average request, for comparing prices.
 const PROMPT_TOKENS: u64 = 200;
 const ANSWER_TOKENS: u64 = 100;
 
 impl Entry {
-    /// Has an answer rated, if it is drawn.
-    pub(super) fn sample(
+    /// Submits an answer for rating if it is sampled.
+    pub(super) fn submit_sample(
         &mut self,
         flight: &Flight,
         confidence: Option<Confidence>,
-        given: bool,
+        delivered: bool,
         out: &mut Outputs,
     ) {
         let Some(version) = flight.version() else {
             return;
         };
-        // The rating service's time goes first to what is on trial.
+        // The capacity of the rating service goes to versions on trial first: all their answers are
+        // rated.
         let share = match self.settings.judge {
-            Judge::Sequential if watch::is_on_trial(&self.tree, version) => 1.0,
+            Judge::Sequential if monitor::is_on_trial(&self.tree, version) => 1.0,
             _ => self.settings.sample.fraction(),
         };
         if flight.status >= 300 || self.rng.random::<f64>() >= share {
             return;
         }
-        let cascade = match (&flight.goal, flight.is_judged()) {
+        let cascade = match (&flight.goal, flight.is_buffered()) {
             (Goal::Cascade(name, step), true) => Some((name.clone(), *step)),
             _ => None,
         };
         out.push(Output::Rate(Sample {
             run: flight.run,
             version: version.clone(),
-            class: flight.site.class,
+            class: flight.context.class,
             cascade,
             confidence: confidence.map(|c| c.0),
-            delivered: given,
-            answer: flight.text.clone(),
+            delivered,
+            answer: flight.body.clone(),
         }));
     }
 
-    pub(super) fn rated(&mut self, rating: Rating, out: &mut Outputs) {
+    pub(super) fn on_rated(&mut self, rating: Rating, out: &mut Outputs) {
         let Rating { sample, score } = rating;
-        if self.watch.record_rating(&self.tree, &sample.version, score) {
+        if self
+            .monitor
+            .record_rating(&self.tree, &sample.version, score)
+        {
             out.push(Output::Suspect(sample.version.clone()));
         }
         let Some((name, step)) = sample.cascade else {
@@ -91,7 +95,7 @@
         self.cascades.get(&(name.clone(), step, class))
     }
 
-    /// Returns the policy of a step, made from the tree when it is first used.
+    /// Returns the policy of a step, with the target and prices of the current tree.
     pub(super) fn policy_mut(
         &mut self,
         name: &CascadeId,
@@ -101,11 +105,8 @@
         let cascade = self.tree.cascade(name.as_str())?;
         let target = cascade.target.fraction();
         let cheap = price(&self.tree, &cascade.steps.get(step)?.version);
-        let dear = price(&self.tree, &cascade.steps.get(step + 1)?.version);
-        let prices = Prices {
-            cheap,
-            expensive: dear,
-        };
+        let expensive = price(&self.tree, &cascade.steps.get(step + 1)?.version);
+        let prices = Prices { cheap, expensive };
         let policy = self
             .cascades
             .entry((name.clone(), step, class))
@@ -115,23 +116,23 @@
     }
 
     pub(super) fn tick(&mut self, now: Time, out: &mut Outputs) {
-        self.tick_early(now, out);
-        self.tick_routed(now, out);
-        if let Some(batch) = self.held.due_orphans(now, self.leaving) {
+        self.handle_pending(now, out);
+        self.check_routed(now, out);
+        if let Some(batch) = self.spool.due_orphans(now, self.draining) {
             out.push(Output::Write(batch));
         }
-        for request in self.waiting(|since| now.since(since) >= WAIT_FOR_TREE) {
+        for request in self.waiting_requests(|since| now.since(since) >= MAX_TREE_WAIT) {
             let message = "the configuration of the upstream is newer";
-            let failure = Failure::not_run(Reason::Stale, message).retry_after(WAIT_FOR_TREE);
-            self.give_up(now, request, failure, out);
+            let failure = Failure::not_run(Reason::Stale, message).retry_after(MAX_TREE_WAIT);
+            self.fail(now, request, failure, out);
         }
-        if now.since(self.reported) < REPORT_EVERY {
+        if now.since(self.last_report) < REPORT_INTERVAL {
             return;
         }
-        self.reported = now;
-        if now.since(self.resent) >= RESEND_EVERY {
-            self.resent = now;
-            self.watch.mark_unsent();
+        self.last_report = now;
+        if now.since(self.last_resend) >= RESEND_INTERVAL {
+            self.last_resend = now;
+            self.monitor.mark_unsent();
         }
         self.report_demand(now, out);
         self.report_evidence(out);
@@ -139,7 +140,7 @@
 
     fn report_demand(&mut self, now: Time, out: &mut Outputs) {
         for demand in self.limits.report(now) {
-            let Some(home) = self.home(demand.account.as_str()) else {
+            let Some(home) = self.home_link(demand.account.as_str()) else {
                 continue;
             };
             let frame = Frame::Demand {
@@ -152,8 +153,8 @@
     }
 
     fn report_evidence(&mut self, out: &mut Outputs) {
-        for (version, evidence) in self.watch.take_unsent() {
-            let Some(home) = self.home(version.as_str()) else {
+        for (version, evidence) in self.monitor.take_unsent() {
+            let Some(home) = self.home_link(version.as_str()) else {
                 continue;
             };
             let frame = Frame::Evidence {
@@ -165,8 +166,8 @@
         }
     }
 
-    /// Returns the link to the sidecar that keeps soft state about a subject.
-    fn home(&self, subject: &str) -> Option<Link> {
+    /// Returns the link to the home sidecar, which keeps the soft state of a subject.
+    fn home_link(&self, subject: &str) -> Option<Link> {
         let staying = || self.peers.iter().filter(|(_, p)| !p.leaving);
         let upstream = subset::home(subject, staying().map(|(_, p)| &p.upstream))?;
         staying()
@@ -175,7 +176,7 @@
     }
 }
 
-/// Returns the price of an average answer, in nano-units of the currency.
+/// Returns the price of an average request, in nano-units of the currency.
 fn price(tree: &Tree, version: &VersionId) -> f64 {
     tree.version(version).map_or(0.0, |v| {
         let cost = v.price_in.cost(PROMPT_TOKENS) + v.price_out.cost(ANSWER_TOKENS);
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -1,6 +1,6 @@
-//! The decisions of an entry: which model, version and upstream answer.
+//! The routing state machine of an entry: chooses the model, version and upstream of each request.
 //!
-//! Inputs go in with the time, outputs come out; sockets are the shell's.
+//! It performs no I/O: the caller passes inputs with the current time and executes the outputs.
 //!
 //! ```
 //! use sorreldeck::entry::{Entry, Input, Settings};
@@ -14,20 +14,20 @@
 
 mod admit;
 mod answer;
-mod ask;
 mod decision;
 mod dispatch;
-mod early;
 mod flight;
 mod guard;
 mod learn;
+mod monitor;
+mod pending;
+mod request;
 mod routed;
-mod watch;
 
-pub use ask::{Chat, Part, Payload, Request};
 pub use decision::{Attempt, Decision, Forecast, History, Snapshot};
+pub use monitor::{rollout_of, thresholds, Aggregate, Judge, Monitor};
+pub use request::{Chat, Part, Payload, Request};
 pub use routed::{Head, Member, Reply, Routed, CONFIDENCE_THRESHOLDS};
-pub use watch::{rollout_of, thresholds, Aggregate, Judge, Monitor};
 
 use crate::bill::Record;
 use crate::cascade;
@@ -53,52 +53,52 @@
 use crate::unit::*;
 use crate::verdict::Verdict;
 use crate::wire::{Call, Frame, Run, Start};
-use early::Early;
 use flight::Flight;
+use pending::Pending;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The most tries of one step.
-const MAX_TRIES: u16 = 4;
-/// How long a caller is told to stay away where nothing better is known.
+/// The maximum number of attempts per step.
+const MAX_ATTEMPTS: u16 = 4;
+/// The `Retry-After` of a refusal when upstreams name no shorter wait.
 const RETRY_AFTER: Span = Span::from_millis(1000);
 
-/// What an entry knows from its process settings.
+/// The process settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The instance.
+    /// The name of the instance.
     pub instance: InstanceId,
-    /// The run of this process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// The keys of session tokens.
+    /// The keys that encrypt session tokens.
     pub keys: Keyring,
-    /// The seed of all random draws.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// How an upstream is chosen.
+    /// The load-balancing policy.
     pub policy: Policy,
-    /// The share of answers that are sent to the rating service.
+    /// The fraction of answers that are sent to the rating service.
     pub sample: Share,
-    /// How a new version is judged.
+    /// The method that evaluates a new version.
     pub judge: Judge,
-    /// Whether a limit is divided evenly, whatever the demand: a baseline.
+    /// Whether limits are divided evenly between entries regardless of demand (a baseline).
     pub even_limits: bool,
-    /// The data hall of this process, where that matters.
+    /// The data hall of this process, if upstreams of the same hall are preferred.
     pub hall: Option<Hall>,
-    /// How many requests may be sent once more, over all entries.
+    /// The retry allowance over all entries.
     pub retries: Allowance,
-    /// The share of requests that an unproven release may get while it is moved to.
+    /// The maximum fraction of requests that a release on trial receives during a move.
     pub exposure: Share,
-    /// From what confidence the answer of a smaller model is given, by the rank
-    /// of the route.
+    /// The minimum confidence at which the answer of a smaller model is delivered, indexed by the
+    /// rank of the route.
     pub confidence_thresholds: [Share; 3],
-    /// Whether it is told which client accounts' requests begin to run.
+    /// Whether [`Output::RequestStarted`] is emitted.
     pub reports_starts: bool,
 }
 
 impl Settings {
-    /// Creates settings with the usual policy and every answer rated.
+    /// Creates settings with the default policy and every answer rated.
     pub fn new(instance: InstanceId, incarnation: Incarnation, keys: Keyring, seed: u64) -> Self {
         Settings {
             instance,
@@ -118,76 +118,77 @@
     }
 }
 
-/// What an entry is told.
+/// An event that an entry handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A caller asks.
+    /// A caller sent a request.
     Request(Box<Request>),
-    /// A caller went away.
+    /// A caller disconnected.
     Disconnected(RequestId),
-    /// A frame came in.
+    /// A frame arrived on a link.
     Frame(Link, Frame),
-    /// A link broke or was closed.
+    /// A link failed or was closed.
     LinkDown(Link),
-    /// A configuration is in force.
+    /// A new configuration takes effect.
     Tree(Arc<Tree>),
-    /// An upstream can be called directly.
+    /// An upstream that is called directly, without a sidecar, became available.
     Join(Link, Box<Member>),
-    /// An upstream takes no new work; what runs there goes on.
+    /// An upstream accepts no new work; its active runs continue.
     Retire(Link),
-    /// What an upstream that is called directly does with a run.
+    /// An event of a run at an upstream that is called directly.
     Reply(Link, Run, Reply),
-    /// A move to another release, and what is recorded of it.
+    /// An order to move to another release, with the recorded state and start of the move.
     Move(release::Order, Option<release::State>, Option<Time>),
-    /// What the other entries of a data hall tell of a move.
+    /// The combined report of the other entries of a data hall about a move.
     ReleaseReport(PoolId, Hall, release::Report),
-    /// Another entry sent an upstream, which a number stands for, a prompt that takes this
-    /// long to be read.
+    /// Another entry sent a prompt with this prefill time to the upstream with this number.
     Prefill(u64, Span),
-    /// Another entry serves a session at a release.
+    /// Another entry reported the affinity of a session to a release.
     SessionAffinity(release::Affinity),
-    /// Another entry tells of requests and the upstreams that crashed under them.
+    /// Another entry reported an upstream crash with the requests that ran there, or that a suspect
+    /// request was answered.
     QuarantineUpdate(quarantine::Update),
-    /// Another entry tells what an upstream said of itself.
+    /// Another entry relayed a notice of an upstream.
     Notice(notice::Update),
-    /// It is recorded that a request is held back.
+    /// The store holds a record that quarantines a request.
     Quarantined(Fingerprint, quarantine::Hold),
-    /// The record of a request that is held back is gone.
+    /// The record that quarantined a request was removed.
     QuarantineRemoved(Fingerprint),
-    /// The entries that take requests and share the limits, with or without this one.
+    /// The entries that take requests and share the limits; this entry may be missing from the
+    /// list.
     Entries(Vec<InstanceId>),
-    /// The data halls that are ordered to be empty, apart from the configuration.
+    /// The data halls that an order evacuates, in addition to those of the configuration.
     Evacuate(BTreeSet<Hall>),
-    /// An upstream is cold for so long yet.
+    /// An upstream remains cold for this long.
     Cold(Link, Span),
-    /// The claim of an idempotency key succeeded or failed.
+    /// The result of claiming an idempotency key.
     Claimed(RequestId, Result<(), Failure>),
     /// An answer was rated.
     Rated(Rating),
-    /// A batch of records is in the platform's store.
+    /// A batch of records was written to the platform's store.
     Written(u64),
-    /// A batch of records could not be written, as far as is known.
+    /// Writing a batch of records failed or its outcome is unknown.
     NotWritten(u64),
-    /// Time passed.
+    /// The periodic timer fired.
     Tick,
-    /// The machine was suspended: what is known may be that much older.
+    /// The machine resumed from a suspension, so all state may be stale by its duration.
     Suspended,
-    /// What is known has been heard anew since.
+    /// The state has been refreshed since the suspension.
     Resynced,
-    /// The process is to stop when its work is done.
+    /// The process stops once its in-flight requests have ended.
     Drain,
 }
 
 /// A rating of one answer.
 #[derive(Clone, Debug)]
 pub struct Rating {
-    /// What was rated.
+    /// The answer that was rated.
     pub sample: Sample,
-    /// The rating, from 0 to 1.
+    /// The rating in `[0, 1]`.
     pub score: f64,
 }
 
-/// An answer that is to be rated.
+/// An answer sampled for rating.
 #[derive(Clone, Debug)]
 pub struct Sample {
     /// The run.
@@ -196,74 +197,76 @@
     pub version: VersionId,
     /// The class.
     pub class: Class,
-    /// The cascade that the answer belongs to and its step.
+    /// The cascade and the index of the step that gave the answer, if any.
     pub cascade: Option<(CascadeId, usize)>,
-    /// How sure the model was.
+    /// The confidence of the model.
     pub confidence: Option<f64>,
-    /// Whether the caller got this answer.
+    /// Whether the answer was delivered to the caller.
     pub delivered: bool,
-    /// The answer as the engine sent it.
+    /// The body as the engine sent it.
     pub answer: Vec<u8>,
 }
 
-/// What an entry wants done.
+/// An action that the caller of [`Entry::handle`] executes.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send a frame.
     Send(Link, Frame),
-    /// Give a caller a part of its answer.
+    /// Send a caller a part of its answer.
     Answer(RequestId, Part),
-    /// Hand a call to the old scripts; the answer goes straight to the caller.
+    /// Forward a call to the legacy scripts at an address; their answer goes directly to the
+    /// caller.
     Forward(RequestId, String),
     /// Claim an idempotency key in the platform's table.
     Claim(RequestId, String),
-    /// Have an answer rated.
+    /// Submit an answer for rating.
     Rate(Sample),
     /// Write records to the platform's store.
     Write(Batch),
-    /// A link knows a newer configuration.
+    /// The configuration is older than that of a link.
     Behind(Link),
-    /// A link knows an older configuration.
+    /// The configuration is newer than that of a link, which has this revision.
     Ahead(Link, Revision),
-    /// A version has just become suspect.
+    /// A version became suspect.
     Suspect(VersionId),
-    /// Tell other entries that an upstream, which a number stands for, has a prompt to read
-    /// that takes this long.
+    /// Tell the other entries that the upstream with this number received a prompt with this
+    /// prefill time.
     Prefill(u64, Span),
-    /// Tell other entries that a session stays at a release.
+    /// Tell the other entries of the affinity of a session to a release.
     SessionAffinity(release::Affinity),
-    /// Tell other entries of requests and the upstreams that crashed under them.
+    /// Tell the other entries of an upstream crash with the requests that ran there, or that a
+    /// suspect request was answered.
     QuarantineUpdate(quarantine::Update),
-    /// Tell other entries what an upstream said of itself.
+    /// Relay a notice of an upstream to the other entries.
     Notice(notice::Update),
-    /// A request of a client account began to run.
+    /// A request of a client account started to run.
     RequestStarted(AccountId),
-    /// Record that a request is held back, or that it is not any more.
+    /// Record in the store that a request is quarantined or released from quarantine.
     RecordQuarantine(quarantine::Change),
-    /// A request has ended, for the histograms.
+    /// A request ended.
     RequestEnded(Summary),
 }
 
-/// A request that has ended.
+/// The summary of an ended request, for metrics and the request log.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// The request.
+    /// The identifier of the request.
     pub request: RequestId,
     /// The client account, or `None` if it was not found.
     pub account: Option<AccountId>,
     /// The class.
     pub class: Class,
-    /// Whether it was a call of a plain service.
+    /// Whether it called a plain service.
     pub plain: bool,
-    /// The time from the request to the first part of the answer.
+    /// The time to the first part of the answer.
     pub first_byte: Option<Span>,
-    /// The time from the request to its end.
+    /// The total duration.
     pub duration: Span,
-    /// Why there was no whole answer.
+    /// Why no complete answer was delivered.
     pub failure: Option<Reason>,
 }
 
-/// The decisions of an entry.
+/// The routing state machine of an entry.
 #[derive(Debug)]
 pub struct Entry {
     settings: Settings,
@@ -271,31 +274,31 @@
     rng: ChaCha8Rng,
     peers: Peers,
     flights: HashMap<RequestId, Flight>,
-    /// Requests that wait for the first configuration and upstream.
-    early: Vec<Early>,
+    /// Requests that wait for the first configuration and the first upstream.
+    pending: Vec<Pending>,
     running: BTreeMap<VersionId, u64>,
     limits: Limits,
-    /// What may be sent once more, by pool.
+    /// The retry budget of each pool.
     budgets: HashMap<PoolId, Budget>,
-    watch: Monitor,
+    monitor: Monitor,
     cascades: HashMap<(CascadeId, usize, Class), cascade::Policy>,
     releases: Releases,
-    strains: Tracker,
-    merits: Outcomes,
-    readings: Estimator,
+    saturation: Tracker,
+    retry_outcomes: Outcomes,
+    latencies: Estimator,
     reuse: Reuse,
     quarantine: Quarantine,
-    /// How many entries take requests, as far as this one knows.
+    /// The known number of entries that take requests, including this one.
     entries: usize,
-    ticked: Time,
-    /// Whether nothing was heard since a suspension of the machine.
+    last_tick: Time,
+    /// Whether the state has not been refreshed since the machine was suspended.
     suspended: bool,
-    held: Spool,
+    spool: Spool,
     history: History,
-    promises: Invariants,
-    reported: Time,
-    resent: Time,
-    leaving: bool,
+    invariants: Invariants,
+    last_report: Time,
+    last_resend: Time,
+    draining: bool,
 }
 
 type Outputs = Vec<Output>;
@@ -303,59 +306,63 @@
 impl Entry {
     /// Creates an entry without a configuration.
     pub fn new(settings: Settings) -> Entry {
-        let watch = Monitor::new(settings.judge);
+        let monitor = Monitor::new(settings.judge);
         Entry {
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
-            held: Spool::new(settings.incarnation),
+            spool: Spool::new(settings.incarnation),
             tree: Arc::default(),
             peers: Peers::default(),
             flights: HashMap::new(),
-            early: Vec::new(),
+            pending: Vec::new(),
             running: BTreeMap::new(),
             limits: Limits::default(),
             budgets: HashMap::new(),
-            watch,
+            monitor,
             cascades: HashMap::new(),
             releases: Releases::new(settings.exposure),
-            strains: Tracker::default(),
-            merits: Outcomes::default(),
-            readings: Estimator::default(),
+            saturation: Tracker::default(),
+            retry_outcomes: Outcomes::default(),
+            latencies: Estimator::default(),
             reuse: Reuse::default(),
             quarantine: Quarantine::default(),
             entries: 1,
-            ticked: Time::default(),
+            last_tick: Time::default(),
             suspended: false,
             history: History::default(),
-            promises: Invariants::default(),
-            reported: Time::default(),
-            resent: Time::default(),
-            leaving: false,
+            invariants: Invariants::default(),
+            last_report: Time::default(),
+            last_resend: Time::default(),
+            draining: false,
             settings,
         }
     }
 
-    /// Takes an input and returns what is to be done, in order.
+    /// Handles an input and returns the actions to execute, in order.
     pub fn handle(&mut self, now: Time, input: Input) -> Outputs {
         let mut out = Vec::new();
         match input {
-            Input::Request(ask) => self.ask_or_wait(now, *ask, &mut out),
-            Input::Disconnected(request) => self.gone(now, request, &mut out),
-            Input::Frame(link, frame) => self.frame(now, link, frame, &mut out),
-            Input::LinkDown(link) => self.link_down(now, link, &mut out),
-            Input::Tree(tree) => self.adopt(now, tree, &mut out),
+            Input::Request(incoming) => self.handle_or_queue(now, *incoming, &mut out),
+            Input::Disconnected(request) => self.on_disconnect(now, request, &mut out),
+            Input::Frame(link, frame) => self.on_frame(now, link, frame, &mut out),
+            Input::LinkDown(link) => self.on_link_down(now, link, &mut out),
+            Input::Tree(tree) => self.set_tree(now, tree, &mut out),
             Input::Join(link, member) => self.join(link, *member, now),
             Input::Retire(link) => self.peers.retire(link),
-            Input::Reply(link, run, reply) => self.reply(now, link, run, reply, &mut out),
-            Input::Move(order, state, began) => self.releases.set_order(order, state, began),
+            Input::Reply(link, run, reply) => self.on_reply(now, link, run, reply, &mut out),
+            Input::Move(order, state, started_at) => {
+                self.releases.set_order(order, state, started_at)
+            }
             Input::ReleaseReport(pool, hall, report) => {
                 if self.releases.merge(&pool, hall, report) {
                     log::warn!("event=release-bad pool={pool} by=others");
                 }
             }
-            Input::Prefill(number, reading) => self.peers.add_remote_prefill(number, reading, now),
-            Input::SessionAffinity(stay) => self.releases.merge_affinity(stay, now),
-            Input::QuarantineUpdate(word) => self.take_word(now, word),
-            Input::Notice(word) => self.peers.apply_remote_notice(word, now),
+            Input::Prefill(start_id, prefill) => {
+                self.peers.add_remote_prefill(start_id, prefill, now)
+            }
+            Input::SessionAffinity(affinity) => self.releases.merge_affinity(affinity, now),
+            Input::QuarantineUpdate(update) => self.apply_quarantine_update(now, update),
+            Input::Notice(update) => self.peers.apply_remote_notice(update, now),
             Input::Quarantined(fingerprint, hold) => {
                 self.quarantine.restore_hold(fingerprint, hold, now)
             }
@@ -363,16 +370,16 @@
             Input::Entries(entries) => self.set_entries(&entries, now),
             Input::Evacuate(halls) => self.evacuate(now, halls),
             Input::Cold(link, left) => self.peers.mark_cold(link, left, now),
-            Input::Claimed(request, claim) => self.claimed(now, request, claim, &mut out),
-            Input::Rated(rating) => self.rated(rating, &mut out),
-            Input::Written(batch) => drop(self.held.on_written(batch)),
-            Input::NotWritten(batch) => self.held.on_write_failed(batch, now),
+            Input::Claimed(request, claim) => self.on_claimed(now, request, claim, &mut out),
+            Input::Rated(rating) => self.on_rated(rating, &mut out),
+            Input::Written(batch) => drop(self.spool.on_written(batch)),
+            Input::NotWritten(batch) => self.spool.on_write_failed(batch, now),
             Input::Tick => self.tick(now, &mut out),
             Input::Suspended => self.suspended = true,
             Input::Resynced => self.suspended = false,
-            Input::Drain => self.leaving = true,
+            Input::Drain => self.draining = true,
         }
-        self.tell_of_quarantine(now, &mut out);
+        self.emit_quarantine(now, &mut out);
         out.extend(self.peers.take_updates().into_iter().map(Output::Notice));
         out.extend(
             self.releases
@@ -383,21 +390,21 @@
         out
     }
 
-    /// Returns whether no request is under way.
+    /// Returns whether no request is in flight.
     pub fn is_idle(&self) -> bool {
-        self.flights.is_empty() && self.early.is_empty()
+        self.flights.is_empty() && self.pending.is_empty()
     }
 
-    /// Notes that the process ends; returns whether no request was cut.
+    /// Records that the process stops; returns whether no request was cut off.
     pub fn record_stop(&mut self) -> bool {
         let idle = self.is_idle();
-        self.promises.check(Invariant::PlannedStop, idle)
+        self.invariants.check(Invariant::PlannedStop, idle)
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether the entry is ready to take requests.
     pub fn is_ready(&self) -> bool {
         let linked = self.peers.iter().any(|(_, p)| !p.leaving);
-        !self.leaving && self.tree.revision() > Revision(0) && linked
+        !self.draining && self.tree.revision() > Revision(0) && linked
     }
 
     /// Returns the configuration in force.
@@ -405,51 +412,51 @@
         &self.tree
     }
 
-    /// Returns the upstreams in reach.
+    /// Returns the reachable upstreams.
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// Returns the counts of the promises.
+    /// Returns the invariants with the counts of their checks and violations.
     pub fn invariants(&self) -> &Invariants {
-        &self.promises
+        &self.invariants
     }
 
-    /// Returns the decisions about the latest requests.
+    /// Returns the decisions on recent requests.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Returns what is known about how good versions are, for the controller
-    /// of roll-outs.
+    /// Returns the monitor of version quality, which the roll-out controller reads.
     pub fn monitor(&mut self) -> &mut Monitor {
-        &mut self.watch
+        &mut self.monitor
     }
 
-    /// Returns how many requests are held back, since they crash upstreams.
+    /// Returns the number of requests that are quarantined because upstreams crashed under them.
     pub fn quarantined(&self, now: Time) -> usize {
         self.quarantine.held_count(now)
     }
 
-    /// Returns how many requests are under way.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
-        self.flights.len() + self.early.len()
+        self.flights.len() + self.pending.len()
     }
 
-    /// Returns how many bill records wait to be written by someone.
+    /// Returns the number of bill records that are not yet known to be written, by this entry or a
+    /// sidecar.
     pub fn unbilled(&self) -> usize {
-        self.held.len()
+        self.spool.len()
     }
 
-    /// Returns what may be sent once more to a pool.
+    /// Returns the retry budget of a pool.
     fn budget(&mut self, pool: &PoolId) -> &mut Budget {
         let allowance = self.settings.retries;
         let budget = self.budgets.entry(pool.clone());
         budget.or_insert_with(|| Budget::new(allowance))
     }
 
-    /// Takes a repeat from the budget of a pool; returns whether there was one.
-    fn spend(&mut self, now: Time, pool: &PoolId) -> bool {
+    /// Withdraws one retry from the budget of a pool; returns whether one was available.
+    fn withdraw_retry(&mut self, now: Time, pool: &PoolId) -> bool {
         let entries = self.entries;
         self.budget(pool).withdraw(now, entries)
     }
@@ -460,34 +467,35 @@
         let n = 1 + entries.iter().filter(|name| *name != own).count();
         self.entries = n;
         self.limits.set_entries(n);
-        self.watch.set_entries(n);
+        self.monitor.set_entries(n);
     }
 
-    fn adopt(&mut self, now: Time, tree: Arc<Tree>, out: &mut Outputs) {
+    fn set_tree(&mut self, now: Time, tree: Arc<Tree>, out: &mut Outputs) {
         let ahead = tree.revision() >= self.tree.revision();
-        if !self.promises.check(Invariant::Configuration, ahead) {
+        if !self.invariants.check(Invariant::Configuration, ahead) {
             return;
         }
         self.tree = tree;
         let change = self.peers.configure(&self.tree, now);
-        self.tell_of_halls(&change);
-        self.watch.retain_watched(&self.tree);
+        self.log_hall_change(&change);
+        self.monitor.retain_watched(&self.tree);
         let revision = self.tree.revision();
         for (link, _) in self.peers.iter() {
             out.push(Output::Send(link, Frame::Revision(revision)));
         }
-        for request in self.waiting(|_| true) {
-            self.rechoose(now, request, out);
+        for request in self.waiting_requests(|_| true) {
+            self.reselect(now, request, out);
         }
     }
 
     fn evacuate(&mut self, now: Time, halls: BTreeSet<Hall>) {
         let change = self.peers.evacuate(halls, now);
-        self.tell_of_halls(&change);
+        self.log_hall_change(&change);
     }
 
-    /// Writes what changed about data halls, and what that leaves nothing of.
-    fn tell_of_halls(&self, change: &halls::Change) {
+    /// Logs evacuated and restored data halls and the pools that an evacuation leaves without a
+    /// usable upstream.
+    fn log_hall_change(&self, change: &halls::Change) {
         for hall in &change.evacuated {
             log::info!("event=hall hall={hall} state=evacuated");
         }
@@ -502,52 +510,56 @@
         }
     }
 
-    /// Returns the requests that wait for a newer configuration.
-    fn waiting(&self, among: impl Fn(Time) -> bool) -> Vec<RequestId> {
+    /// Returns the requests that wait for a newer configuration since a time that matches.
+    fn waiting_requests(&self, matches: impl Fn(Time) -> bool) -> Vec<RequestId> {
         let mut waiting: Vec<RequestId> = self
             .flights
             .iter()
-            .filter(|(_, f)| f.waiting.is_some_and(&among))
+            .filter(|(_, f)| f.waiting_since.is_some_and(&matches))
             .map(|(request, _)| *request)
             .collect();
         waiting.sort_unstable();
         waiting
     }
 
-    /// Tries again with a version chosen anew.
-    fn rechoose(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
+    /// Retries a request with a newly chosen version.
+    fn reselect(&mut self, now: Time, request: RequestId, out: &mut Outputs) {
         if let Some(flight) = self.flights.get_mut(&request) {
             flight.run = flight.run.next_attempt();
             flight.choice = None;
-            flight.waiting = None;
+            flight.waiting_since = None;
             flight.tried.clear();
         }
         self.dispatch(now, request, out);
     }
 
-    /// Takes in a record of an answer given here, as the sidecar's second copy.
-    fn hold_record(&mut self, record: Record, link: Link, now: Time) {
-        self.held.add(record, Some(link), now);
+    /// Stores a copy of a bill record whose original the sidecar keeps.
+    fn spool_record(&mut self, record: Record, link: Link, now: Time) {
+        self.spool.add(record, Some(link), now);
     }
 
-    /// Explains what a request of this description would get now, without
-    /// running it.
+    /// Returns the decision that a request would get now, without sending it.
     ///
     /// # Errors
     ///
-    /// Fails with the failure that the caller would get.
-    pub fn explain(&mut self, now: Time, site: Context, ask: Request) -> Result<Decision, Failure> {
-        let asked = ask.payload.name();
-        let request = ask.request;
-        let mut flight = self.prepare(now, ask, site)?;
-        self.choose(&mut flight)?;
-        let wish = Criteria {
+    /// Returns the failure that the caller would get.
+    pub fn explain(
+        &mut self,
+        now: Time,
+        context: Context,
+        incoming: Request,
+    ) -> Result<Decision, Failure> {
+        let asked = incoming.payload.name();
+        let request = incoming.request;
+        let mut flight = self.prepare(now, incoming, context)?;
+        self.select_version(&mut flight)?;
+        let criteria = Criteria {
             pool: &flight.pool,
             tokens: flight.prompt_tokens(),
-            urgent: flight.site.class == Class::Priority,
-            // Upstreams behind sidecars name no rates.
+            urgent: flight.context.class == Class::Priority,
+            // Upstreams behind sidecars announce no rate limits, so the rank has no effect.
             rank: 0,
-            prefixes: flight.chain(),
+            prefixes: flight.prefixes(),
             shared_prefix: None,
             last_upstream: None,
             tried: &[],
@@ -558,13 +570,13 @@
             prefill_rate: None,
             scope: Scope::Hall,
         };
-        let link = self.peers.pick(&wish, self.settings.policy, now, 0.0);
+        let link = self.peers.pick(&criteria, self.settings.policy, now, 0.0);
         self.history.begin(request, self.tree.revision(), asked);
-        self.note_try(now, &flight, link, "not sent".into());
-        self.history.note(request, |d| {
-            d.node = Some(flight.site.path.clone());
-            d.account = Some(flight.site.account.clone());
-            d.class = Some(flight.site.class);
+        self.record_attempt(now, &flight, link, "not sent".into());
+        self.history.update(request, |d| {
+            d.node = Some(flight.context.path.clone());
+            d.account = Some(flight.context.account.clone());
+            d.class = Some(flight.context.class);
         });
         let decision = self.history.get(request).cloned();
         decision.ok_or_else(|| Failure::not_run(Reason::Invariant, "the decision was not kept"))
@@ -578,7 +590,7 @@
 }
 
 impl Payload {
-    /// Returns the model or path asked for.
+    /// Returns the requested model, or the method and path of a call.
     pub fn name(&self) -> String {
         match self {
             Payload::Chat(chat) => chat.model.clone(),
@@ -589,7 +601,7 @@
 }
 
 impl Target {
-    /// Returns the name that callers use.
+    /// Returns the name that callers request.
     pub fn as_str(&self) -> &str {
         match self {
             Target::Model(model) => model.as_str(),
--- a/crates/core/src/entry/watch.rs
+++ b/crates/core/src/entry/monitor.rs
@@ -1,8 +1,8 @@
-//! What an entry knows about how good versions are.
+//! Monitors the quality of versions under roll-out.
 //!
-//! The entry keeps its own evidence, sends it to the version's home and gets
-//! the pooled evidence back. It stops giving new work to a version at once when
-//! either says that the version is bad; the record in the tree follows.
+//! An entry keeps its own evidence, sends it to the home sidecar of the version and receives the
+//! evidence pooled over all entries. It sends no new work to a version as soon as either shows that
+//! the version is bad; the roll-out record in the settings tree is updated afterwards.
 //!
 //! ```
 //! use sorreldeck::entry::Monitor;
@@ -17,23 +17,22 @@
 use crate::tree::{Intent, Phase, Progress, Rollout, Tree};
 use std::collections::BTreeMap;
 
-/// The unrated answers that a new version may have outstanding over all entries
-/// before it has proved anything.
+/// The maximum number of unrated answers of a new version over all entries, before any ratings.
 const ALLOWANCE: f64 = 6.0;
-/// What each good rating adds to the allowance, and each bad one takes from it.
-const PER_GOOD: f64 = 0.5;
-const PER_BAD: f64 = 1.5;
-/// The part of the chance of a false alarm that the home has; the entries, which
-/// decide alone while no home answers, share the rest.
-const HOME_PART: f64 = 0.8;
+/// The increase of the allowance per good rating and its decrease per bad one.
+const ALLOWANCE_PER_GOOD: f64 = 0.5;
+const ALLOWANCE_PER_BAD: f64 = 1.5;
+/// The share of the false-alarm probability assigned to the home sidecar. The entries, which decide
+/// alone while no home sidecar answers, share the rest.
+const HOME_ALARM_SHARE: f64 = 0.8;
 
-/// How a new version is judged.
+/// The method that evaluates a new version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Judge {
-    /// By a sequential test, with unrated answers kept few.
+    /// A sequential test, with a bound on unrated answers.
     #[default]
     Sequential,
-    /// By the mean of a fixed window at the end of each stage: a baseline.
+    /// The mean of a fixed window at the end of each stage (a baseline).
     Window,
 }
 
@@ -46,25 +45,25 @@
             "window" => Ok(Judge::Window),
             _ => Err(crate::Error::new(
                 crate::Category::Invalid,
-                format!("{s:?} is no judge: sequential and window are"),
+                format!("unknown judge {s:?}: expected `sequential` or `window`"),
             )),
         }
     }
 }
 
-/// What is known of one version.
+/// The evidence on one version.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct State {
     own: Evidence,
     pooled: Evidence,
     detector: Detector,
-    told_bad: bool,
+    pooled_bad: bool,
     sent: u64,
 }
 
-impl Known {
-    /// Returns the evidence that rests on more ratings.
-    fn best(&self) -> &Evidence {
+impl State {
+    /// Returns the evidence with more ratings.
+    fn larger(&self) -> &Evidence {
         match self.pooled.ratings >= self.own.ratings {
             true => &self.pooled,
             false => &self.own,
@@ -72,16 +71,16 @@
     }
 }
 
-/// What an entry knows about how good versions are.
+/// The quality monitor of an entry.
 #[derive(Clone, Debug, Default)]
 pub struct Monitor {
-    versions: BTreeMap<VersionId, Known>,
+    versions: BTreeMap<VersionId, State>,
     stages: BTreeMap<RolloutId, Stage>,
     entries: usize,
     judge: Judge,
 }
 
-/// The evidence at the beginning of a stage.
+/// The evidence at the start of a stage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Stage {
     index: usize,
@@ -89,7 +88,7 @@
     sum: f64,
 }
 
-/// Returns what tells a good version of a roll-out from a bad one.
+/// Returns the thresholds that separate a good version of a roll-out from a bad one.
 pub fn thresholds(rollout: &Rollout) -> Thresholds {
     Thresholds {
         floor: rollout.floor.fraction(),
@@ -99,7 +98,7 @@
     }
 }
 
-/// Returns the roll-out that watches a version.
+/// Returns the running or paused roll-out to a version.
 pub fn rollout_of<'a>(tree: &'a Tree, version: &VersionId) -> Option<(&'a RolloutId, &'a Rollout)> {
     tree.rollouts()
         .iter()
@@ -113,7 +112,7 @@
 }
 
 impl Monitor {
-    /// Creates a watch that has seen nothing.
+    /// Creates a monitor without evidence.
     pub fn new(judge: Judge) -> Monitor {
         Monitor {
             judge,
@@ -121,19 +120,20 @@
         }
     }
 
-    /// Sets the number of entries over which the allowance is divided.
+    /// Sets the number of entries that share the allowance.
     pub fn set_entries(&mut self, entries: usize) {
         self.entries = entries.max(1);
     }
 
-    /// Returns whether the version gets no new work from this entry.
+    /// Returns whether this entry sends the version no new work.
     pub fn is_suspect(&self, version: &VersionId) -> bool {
-        let known = self.versions.get(version);
+        let state = self.versions.get(version);
         self.judge == Judge::Sequential
-            && known.is_some_and(|known| known.told_bad || known.detector.is_bad())
+            && state.is_some_and(|state| state.pooled_bad || state.detector.is_bad())
     }
 
-    /// Returns whether a version on trial may get another new session.
+    /// Returns whether a version may get another new session, which is limited while it is on
+    /// trial.
     ///
     /// `in_flight` is the number of requests of this entry that run on it.
     pub fn admits(&self, tree: &Tree, version: &VersionId, in_flight: u64) -> bool {
@@ -141,23 +141,28 @@
             return true;
         }
         let entries = self.entries.max(1) as f64;
-        let Some(known) = self.versions.get(version) else {
+        let Some(state) = self.versions.get(version) else {
             return (in_flight as f64) < (ALLOWANCE / entries).max(1.0);
         };
-        let all = known.best();
+        let all = state.larger();
         let bad = all.ratings as f64 - all.sum;
-        let allowance = (ALLOWANCE + PER_GOOD * all.sum - PER_BAD * bad) / entries;
-        (known.own.unrated() + in_flight) as f64 <= allowance.max(1.0)
+        let allowance =
+            (ALLOWANCE + ALLOWANCE_PER_GOOD * all.sum - ALLOWANCE_PER_BAD * bad) / entries;
+        (state.own.unrated() + in_flight) as f64 <= allowance.max(1.0)
     }
 
-    /// Counts an answer; returns whether the version has just become suspect.
+    /// Records an answer; returns whether the version became suspect by it.
     pub fn record_answer(&mut self, tree: &Tree, version: &VersionId, failed: bool) -> bool {
-        self.learn(tree, version, |evidence, bar| evidence.answer(failed, bar))
+        self.learn(tree, version, |evidence, thresholds| {
+            evidence.answer(failed, thresholds)
+        })
     }
 
-    /// Counts a rating; returns whether the version has just become suspect.
+    /// Records a rating; returns whether the version became suspect by it.
     pub fn record_rating(&mut self, tree: &Tree, version: &VersionId, rating: f64) -> bool {
-        self.learn(tree, version, |evidence, bar| evidence.rate(rating, bar))
+        self.learn(tree, version, |evidence, thresholds| {
+            evidence.rate(rating, thresholds)
+        })
     }
 
     fn learn(
@@ -169,61 +174,60 @@
         let Some((_, rollout)) = rollout_of(tree, version) else {
             return false;
         };
-        let mut bar = thresholds(rollout);
+        let mut thresholds = thresholds(rollout);
         let before = self.is_suspect(version);
         let entries = self.entries.max(1);
-        let known = self.versions.entry(version.clone()).or_default();
-        count(&mut known.own, &bar);
-        bar.false_alarm *= (1.0 - HOME_PART) / entries as f64;
-        known.detector.update(&known.own, &bar);
+        let state = self.versions.entry(version.clone()).or_default();
+        count(&mut state.own, &thresholds);
+        thresholds.false_alarm *= (1.0 - HOME_ALARM_SHARE) / entries as f64;
+        state.detector.update(&state.own, &thresholds);
         !before && self.is_suspect(version)
     }
 
-    /// Takes in what the home pooled; returns whether the version has just
-    /// become suspect.
+    /// Applies the pooled evidence and verdict of the home sidecar; returns whether the version
+    /// became suspect by it.
     pub fn merge_pooled(&mut self, version: &VersionId, evidence: Evidence, bad: bool) -> bool {
         let before = self.is_suspect(version);
-        let known = self.versions.entry(version.clone()).or_default();
-        if evidence.answers + evidence.ratings >= known.pooled.answers + known.pooled.ratings {
-            known.pooled = evidence;
+        let state = self.versions.entry(version.clone()).or_default();
+        if evidence.answers + evidence.ratings >= state.pooled.answers + state.pooled.ratings {
+            state.pooled = evidence;
         }
-        known.told_bad |= bad;
+        state.pooled_bad |= bad;
         !before && self.is_suspect(version)
     }
 
-    /// Returns the evidence that has grown since it was sent last.
+    /// Returns the evidence that changed since it was last sent, and marks it as sent.
     pub fn take_unsent(&mut self) -> Vec<(VersionId, Evidence)> {
         let mut unsent = Vec::new();
-        for (version, known) in &mut self.versions {
-            let size = known.own.answers + known.own.ratings;
-            if size != known.sent {
-                known.sent = size;
-                unsent.push((version.clone(), known.own.clone()));
+        for (version, state) in &mut self.versions {
+            let size = state.own.answers + state.own.ratings;
+            if size != state.sent {
+                state.sent = size;
+                unsent.push((version.clone(), state.own.clone()));
             }
         }
         unsent
     }
 
-    /// Makes all evidence be sent again, to a home that may not have it.
+    /// Marks all evidence as unsent, in case a home sidecar does not have it.
     pub fn mark_unsent(&mut self) {
-        for known in self.versions.values_mut() {
-            known.sent = 0;
+        for state in self.versions.values_mut() {
+            state.sent = 0;
         }
     }
 
-    /// Forgets versions that no roll-out watches any more.
+    /// Drops the evidence on versions without a roll-out.
     pub fn retain_watched(&mut self, tree: &Tree) {
         self.versions
             .retain(|version, _| rollout_of(tree, version).is_some());
         self.stages.retain(|name, _| tree.rollout(name).is_some());
     }
 
-    /// Returns what the record of a running roll-out ought to be, where it is
-    /// not that already. Only the holder of the lease asks.
+    /// Returns the new record of a roll-out, if it must change. Only the lease holder calls this.
     pub fn propose(&mut self, tree: &Tree, name: &RolloutId, fence: u64) -> Option<Progress> {
         let rollout = tree.rollout(name)?;
-        let known = self.versions.get(&rollout.to).cloned().unwrap_or_default();
-        let evidence = known.best();
+        let state = self.versions.get(&rollout.to).cloned().unwrap_or_default();
+        let evidence = state.larger();
         let record = tree.record(name);
         let stage = record.map_or(0, |p| p.stage);
         let phase = record.map_or(Phase::Watching, |p| p.phase);
@@ -255,7 +259,8 @@
         }
         let ratings = evidence.ratings.saturating_sub(base.ratings);
         let mean = (evidence.sum - base.sum) / ratings.max(1) as f64;
-        // Not clearly bad is not enough to go on: the stage must look good.
+        // A stage advances only with a good mean, not merely without evidence that the version is
+        // bad.
         let good = mean >= (rollout.floor.fraction() + rollout.bad.fraction()) / 2.0;
         if ratings < u64::from(rollout.evidence) {
             return None;
@@ -273,7 +278,7 @@
     }
 }
 
-/// The evidence that a home pools for all entries.
+/// The evidence of all entries, aggregated by a home sidecar.
 #[derive(Clone, Debug, Default)]
 pub struct Aggregate {
     versions: BTreeMap<VersionId, Pooled>,
@@ -286,7 +291,7 @@
 }
 
 impl Aggregate {
-    /// Takes in an entry's evidence; returns the sum and whether it is bad.
+    /// Merges an entry's evidence; returns the sum and whether it shows that the version is bad.
     pub fn merge(
         &mut self,
         tree: &Tree,
@@ -297,19 +302,19 @@
         let Some((_, rollout)) = rollout_of(tree, version) else {
             return (evidence, false);
         };
-        let mut bar = thresholds(rollout);
-        bar.false_alarm *= HOME_PART;
+        let mut thresholds = thresholds(rollout);
+        thresholds.false_alarm *= HOME_ALARM_SHARE;
         let pooled = self.versions.entry(version.clone()).or_default();
         pooled.by_entry.insert(entry, evidence);
         let mut sum = Evidence::default();
         for part in pooled.by_entry.values() {
             sum.merge(part);
         }
-        let bad = pooled.detector.update(&sum, &bar);
+        let bad = pooled.detector.update(&sum, &thresholds);
         (sum, bad)
     }
 
-    /// Forgets versions that no roll-out watches any more.
+    /// Drops the evidence on versions without a roll-out.
     pub fn retain_watched(&mut self, tree: &Tree) {
         self.versions
             .retain(|version, _| rollout_of(tree, version).is_some());
--- a/crates/core/src/entry/ask.rs
+++ b/crates/core/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! A request as the entry's shell hands it over, and the answer's parts.
+//! Requests as the network layer passes them to the entry, and the parts of an answer.
 //!
 //! ```
 //! use sorreldeck::entry::Chat;
@@ -17,52 +17,52 @@
 use crate::wire::{Call, Header};
 use serde_json::{Map, Value};
 
-/// The tokens generated where the caller sets no bound.
-const MAX_TOKENS: u32 = 256;
-/// The letters that make one token, about.
-const LETTERS_PER_TOKEN: usize = 4;
-/// The tokens at the start of a prompt that requests are taken to share.
+/// The default of `max_tokens`.
+const DEFAULT_MAX_TOKENS: u32 = 256;
+/// The approximate number of bytes per token.
+const BYTES_PER_TOKEN: usize = 4;
+/// The length of the prompt prefix that requests are assumed to share, in tokens.
 const PREFIX_TOKENS: usize = 64;
 
 /// A request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its identity.
+    /// The identifier of the request.
     pub request: RequestId,
     /// The API key.
     pub key: Option<String>,
     /// The route below the node of the key.
     pub route: Option<String>,
-    /// The class asked for.
+    /// The requested class.
     pub class: Option<String>,
     /// The session token.
     pub session: Option<String>,
-    /// Whether the caller forbids a second sending.
+    /// Whether the caller forbids that the request may run twice.
     pub at_most_once: bool,
-    /// The caller's name for the request.
+    /// The idempotency key that the caller sent.
     pub idempotency_key: Option<String>,
-    /// What is asked.
+    /// The payload.
     pub payload: Payload,
 }
 
-/// What is asked.
+/// The payload of a request.
 #[derive(Clone, Debug)]
 pub enum Payload {
     /// A chat completion.
     Chat(Box<Chat>),
     /// A call of a plain service.
     Plain(Call),
-    /// A request that a route describes.
+    /// A request that matches a route.
     Routed(Box<Routed>),
 }
 
 impl Payload {
-    /// Returns what the request is known by when a client account sends it again.
+    /// Returns the fingerprint, which is the same when the client account repeats the request.
     pub fn fingerprint(&self, account: &AccountId) -> Fingerprint {
         let account = account.as_str().as_bytes();
         match self {
             Payload::Chat(chat) => {
-                let body = serde_json::to_vec(&chat.body).expect("a JSON map is always JSON");
+                let body = serde_json::to_vec(&chat.body).expect("a JSON map can be serialized");
                 Fingerprint::of(&[account, b"chat", &body])
             }
             Payload::Plain(call) => call_fingerprint(account, "", call),
@@ -79,27 +79,27 @@
 /// A chat completion.
 #[derive(Clone, Debug)]
 pub struct Chat {
-    /// The model or cascade.
+    /// The requested model or cascade.
     pub model: String,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// The prompt tokens, about.
+    /// The estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// The most tokens to generate.
+    /// The maximum number of generated tokens.
     pub max_tokens: u32,
-    /// The first part of the prompt.
+    /// The prefix of the prompt that may be cached.
     pub prefix: Option<Prefix>,
-    /// The request as it came.
+    /// The body as received.
     pub body: Map<String, Value>,
 }
 
 impl Chat {
-    /// Reads the body of a chat completion.
+    /// Parses the body of a chat completion.
     ///
     /// # Errors
     ///
-    /// Fails, not run, with [`Reason::BadRequest`] when it is no JSON object or
-    /// lacks a model or messages.
+    /// Returns a failure with [`Reason::BadRequest`] if the body is not a JSON object, has no model
+    /// or messages, or has an invalid `stream` or `max_tokens`.
     pub fn from_slice(buf: &[u8]) -> Result<Chat, Failure> {
         let bad = |message: String| Failure::not_run(Reason::BadRequest, message);
         let body: Map<String, Value> = serde_json::from_slice(buf)
@@ -118,7 +118,7 @@
             Some(_) => return Err(bad("`stream` must be true or false".into())),
         };
         let max_tokens = match body.get("max_tokens") {
-            None | Some(Value::Null) => MAX_TOKENS,
+            None | Some(Value::Null) => DEFAULT_MAX_TOKENS,
             Some(n) => n
                 .as_u64()
                 .and_then(|n| u32::try_from(n).ok())
@@ -129,20 +129,21 @@
         Ok(Chat {
             model,
             stream,
-            prompt_tokens: prompt.len().div_ceil(LETTERS_PER_TOKEN) as u32,
+            prompt_tokens: prompt.len().div_ceil(BYTES_PER_TOKEN) as u32,
             max_tokens,
             prefix: prefix_of(&prompt),
             body,
         })
     }
 
-    /// Returns the expected cost of running the request, in generated tokens.
+    /// Returns the expected cost of the request, in generated tokens.
     pub fn cost(&self) -> u32 {
-        // A prompt token is worked through many times faster than one is made.
+        // Prefill processes a prompt token many times faster than a token is generated.
         self.max_tokens + self.prompt_tokens / 16
     }
 
-    /// Returns the call that an engine gets.
+    /// Returns the call to send to an engine; `judge` requests log probabilities, from which the
+    /// confidence is computed.
     pub fn call(&self, version: &VersionId, stream: bool, judge: bool) -> Call {
         let mut body = self.body.clone();
         body.insert("model".into(), version.as_str().into());
@@ -160,7 +161,7 @@
             method: "POST".into(),
             path: "/v1/chat/completions".into(),
             headers: vec![Header::new("content-type", "application/json")],
-            body: serde_json::to_vec(&body).expect("a JSON map is always JSON"),
+            body: serde_json::to_vec(&body).expect("a JSON map can be serialized"),
         }
     }
 }
@@ -177,8 +178,8 @@
 }
 
 fn prefix_of(prompt: &str) -> Option<Prefix> {
-    let letters = PREFIX_TOKENS * LETTERS_PER_TOKEN;
-    let head = prompt.as_bytes().get(..letters)?;
+    let bytes = PREFIX_TOKENS * BYTES_PER_TOKEN;
+    let head = prompt.as_bytes().get(..bytes)?;
     Some(Prefix {
         hash: digest::truncate(&blake3::hash(head)),
         tokens: PREFIX_TOKENS as u32,
@@ -188,17 +189,17 @@
 /// A part of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Part {
-    /// The answer begins.
+    /// The head.
     Head {
         /// The HTTP status.
         status: u16,
         /// The headers.
         headers: Vec<Header>,
     },
-    /// Bytes of the body.
+    /// A chunk of the body.
     Data(Vec<u8>),
-    /// The answer is whole.
+    /// The end of a complete answer.
     End,
-    /// There is no answer, or it breaks off here.
+    /// The request failed, before or in the middle of the answer.
     Fail(Failure),
 }
--- a/crates/core/src/entry/routed/learn.rs
+++ b/crates/core/src/entry/routed/learn.rs
@@ -1,9 +1,9 @@
-//! What answers to routed requests tell of upstreams and releases.
+//! Updates the statistics on upstreams and releases from the answers to routed requests.
 
 use super::*;
 
 impl Entry {
-    pub(super) fn report_direct(&mut self, link: Link, load: (u32, u32, u32), now: Time) {
+    pub(super) fn record_load(&mut self, link: Link, load: (u32, u32, u32), now: Time) {
         let Some(peer) = self.peers.get(link) else {
             return;
         };
@@ -12,146 +12,153 @@
             running,
             queued,
             slots,
-            wait: waiting(queued, slots),
+            wait: expected_wait(queued, slots),
             ..peer.load
         };
         self.peers.report(link, load, now);
     }
 
-    /// Notes that the upstream of a run has read its prompt, or does not have to.
-    pub(in crate::entry) fn end_reading(&mut self, request: RequestId) {
+    /// Records that the upstream of a run completed its prefill or no longer has to.
+    pub(in crate::entry) fn finish_prefill(&mut self, request: RequestId) {
         let Some(flight) = self.flights.get_mut(&request) else {
             return;
         };
-        let Some((terms, link)) = flight.terms.as_mut().zip(flight.at) else {
+        let Some((route_state, link)) = flight.route_state.as_mut().zip(flight.link) else {
             return;
         };
-        if std::mem::take(&mut terms.outlook.reads) {
-            self.peers.prefill_ended(link, terms.outlook.reading);
+        if std::mem::take(&mut route_state.estimate.prefill_pending) {
+            self.peers.prefill_ended(link, route_state.estimate.prefill);
         }
     }
 
-    /// Learns how long an answer took to begin, or has been waited for, from releases that
-    /// are not on trial.
-    pub(super) fn learn_reading(&mut self, now: Time, request: RequestId) {
+    /// Records the time to the start of an answer, or the wait so far, for the latency model. Runs
+    /// of a release on trial are left out.
+    pub(super) fn record_latency(&mut self, now: Time, request: RequestId) {
         let Some(flight) = self.flights.get(&request) else {
             return;
         };
         let pool = &flight.pool;
-        let Some(terms) = flight.terms.as_ref().filter(|_| !flight.headed) else {
+        let Some(route_state) = flight.route_state.as_ref().filter(|_| !flight.head_sent) else {
             return;
         };
         let release = flight.version();
         if release.is_some_and(|release| self.releases.is_on_trial(pool, release)) {
             return;
         }
-        let Outlook { fresh, behind, .. } = terms.outlook;
-        let took = now.since(terms.sent);
-        self.readings
-            .record(&terms.subject(pool), fresh, behind, took);
+        let Estimate {
+            uncached_tokens,
+            wait,
+            ..
+        } = route_state.estimate;
+        let elapsed = now.since(route_state.sent_at);
+        self.latencies
+            .record(&route_state.workload(pool), uncached_tokens, wait, elapsed);
     }
 
-    /// Tells the releases what the beginning of an answer shows.
-    pub(super) fn learn_release(&mut self, now: Time, request: RequestId, good: bool) {
+    /// Records the start of an answer, or an error, in the comparison of releases.
+    pub(super) fn record_release_start(&mut self, now: Time, request: RequestId, good: bool) {
         let Some(flight) = self.flights.get(&request) else {
             return;
         };
-        if flight.terms.as_ref().is_some_and(|t| t.told_slow) {
+        if flight.route_state.as_ref().is_some_and(|t| t.recorded_slow) {
             return;
         }
-        let sent = flight.terms.as_ref().map(|t| t.sent);
+        let sent = flight.route_state.as_ref().map(|t| t.sent_at);
         let first = sent.filter(|_| good).map(|sent| now.since(sent));
-        let Some(answer) = flight.tells(now, first) else {
+        let Some(answer) = flight.release_answer(now, first) else {
             return;
         };
         if self.releases.record_answer(&answer) {
-            warn_of(&answer, "own");
+            warn_bad_release(&answer, "own");
         }
     }
 
-    /// Tells the releases of a run that has been waited for so long already that it is slow,
-    /// whenever it begins: a release on trial that hangs would hold the evidence against it back
-    /// for as long as is waited.
-    pub(super) fn learn_waiting(&mut self, now: Time, request: RequestId) {
-        let Some(flight) = self.flights.get(&request).filter(|f| !f.headed) else {
+    /// Records a waiting run as slow once its wait alone makes it slow. Otherwise the evidence
+    /// against a release on trial that hangs would be delayed until its runs time out.
+    pub(super) fn record_slow_wait(&mut self, now: Time, request: RequestId) {
+        let Some(flight) = self.flights.get(&request).filter(|f| !f.head_sent) else {
             return;
         };
-        let waited = flight.terms.as_ref().filter(|t| !t.told_slow);
-        let waited = waited.map(|t| now.since(t.sent));
-        let Some(answer) = waited.and_then(|waited| flight.tells(now, Some(waited))) else {
+        let waited = flight.route_state.as_ref().filter(|t| !t.recorded_slow);
+        let waited = waited.map(|t| now.since(t.sent_at));
+        let Some(answer) = waited.and_then(|waited| flight.release_answer(now, Some(waited)))
+        else {
             return;
         };
         if !self.releases.is_slow(&answer) {
             return;
         }
         if self.releases.record_answer(&answer) {
-            warn_of(&answer, "waited");
+            warn_bad_release(&answer, "waited");
         }
         let flight = self.flights.get_mut(&request);
-        if let Some(terms) = flight.and_then(|f| f.terms.as_mut()) {
-            terms.told_slow = true;
+        if let Some(route_state) = flight.and_then(|f| f.route_state.as_mut()) {
+            route_state.recorded_slow = true;
         }
     }
 
-    /// Tells the releases that a stream fell silent midway and is left.
-    pub(super) fn learn_stalled(&mut self, now: Time, request: RequestId) {
-        let Some(flight) = self.flights.get(&request).filter(|f| f.headed) else {
+    /// Records a stalled stream that was abandoned in the comparison of releases.
+    pub(super) fn record_stall(&mut self, now: Time, request: RequestId) {
+        let Some(flight) = self.flights.get(&request).filter(|f| f.head_sent) else {
             return;
         };
-        let Some(answer) = flight.tells(now, None) else {
+        let Some(answer) = flight.release_answer(now, None) else {
             return;
         };
         if self.releases.record_stall(&answer) {
-            warn_of(&answer, "stalled");
+            warn_bad_release(&answer, "stalled");
         }
     }
 
-    /// Tells the releases how far apart the events of a whole stream were.
-    pub(super) fn learn_pace(&mut self, now: Time, request: RequestId) {
+    /// Records the interval between the events of a complete stream in the comparison of releases.
+    pub(super) fn record_event_interval(&mut self, now: Time, request: RequestId) {
         let Some(flight) = self.flights.get(&request) else {
             return;
         };
-        let (Some(terms), Some(first), Some(answer)) =
-            (&flight.terms, flight.first, flight.tells(now, None))
-        else {
+        let (Some(route_state), Some(first), Some(answer)) = (
+            &flight.route_state,
+            flight.first_byte_at,
+            flight.release_answer(now, None),
+        ) else {
             return;
         };
-        // A stream that went on elsewhere paused for a reason of its own.
-        if !terms.route.stream || terms.sent > first {
+        // A resumed stream includes the pause of its switch between upstreams.
+        if !route_state.route.stream || route_state.sent_at > first {
             return;
         }
         let events = u64::from(flight.parts);
         if self.releases.record_pace(&answer, events, now.since(first)) {
-            warn_of(&answer, "pace");
+            warn_bad_release(&answer, "pace");
         }
     }
 
-    /// Learns whether asking another upstream after an error helped.
-    pub(super) fn learn_merit(&mut self, request: RequestId, good: bool) {
+    /// Records whether a retry at another upstream after an error succeeded.
+    pub(super) fn record_retry_outcome(&mut self, request: RequestId, good: bool) {
         let flight = self.flights.get_mut(&request);
-        let Some((flight, terms)) = flight.and_then(|f| f.terms.as_mut().map(|t| (&f.pool, t)))
+        let Some((flight, route_state)) =
+            flight.and_then(|f| f.route_state.as_mut().map(|t| (&f.pool, t)))
         else {
             return;
         };
-        if std::mem::take(&mut terms.erred) {
-            self.merits.record(flight, &terms.name, good);
+        if std::mem::take(&mut route_state.retries_error) {
+            self.retry_outcomes.record(flight, &route_state.name, good);
         }
     }
 
-    /// Notes how long a run took to begin, or has been waited for.
-    pub(super) fn note_strain(&mut self, now: Time, request: RequestId) {
+    /// Records the time to the start of an answer, or the wait so far, in the load of the pool.
+    pub(super) fn record_saturation(&mut self, now: Time, request: RequestId) {
         let Some(flight) = self.flights.get(&request) else {
             return;
         };
-        if let Some(terms) = flight.terms.as_ref().filter(|t| t.route.stream) {
-            let waited = now.since(terms.sent);
-            self.strains
-                .record(&flight.pool, waited, terms.route.objective);
+        if let Some(route_state) = flight.route_state.as_ref().filter(|t| t.route.stream) {
+            let waited = now.since(route_state.sent_at);
+            self.saturation
+                .record(&flight.pool, waited, route_state.route.objective);
         }
     }
 }
 
-fn warn_of(answer: &release::Answer, by: &str) {
+fn warn_bad_release(answer: &release::Answer, by: &str) {
     log::warn!(
         "event=release-bad pool={} release={} upstream={} by={by}",
         answer.pool,
@@ -160,12 +167,12 @@
     );
 }
 
-/// Returns the expected wait behind the requests that are queued.
-fn waiting(queued: u32, slots: u32) -> Span {
-    /// How long a request holds a slot, about.
-    const SERVICE: Span = Span::from_millis(1500);
-    /// How long its prompt takes to be read, about: 4,000 tokens at 112 a millisecond.
-    const READING: Span = Span::from_millis(40);
-    let each = SERVICE.micros() / u64::from(slots.max(1));
-    Span::from_micros(u64::from(queued) * each.max(READING.micros()))
+/// Returns the expected wait behind the queued requests.
+fn expected_wait(queued: u32, slots: u32) -> Span {
+    /// The approximate time for which a request occupies a slot.
+    const SERVICE_TIME: Span = Span::from_millis(1500);
+    /// The approximate prefill time of a prompt: 4,000 tokens at 112 per millisecond.
+    const PREFILL: Span = Span::from_millis(40);
+    let each = SERVICE_TIME.micros() / u64::from(slots.max(1));
+    Span::from_micros(u64::from(queued) * each.max(PREFILL.micros()))
 }
--- a/crates/core/src/entry/routed/mod.rs
+++ b/crates/core/src/entry/routed/mod.rs
@@ -1,14 +1,13 @@
-//! How an entry takes in requests that a route of the tree describes, and how it
-//! sends them straight to upstreams.
+//! Requests that match a route of the settings tree and are sent directly to upstreams.
 //!
-//! Such a request carries all that decides about it: the host and path, the time
-//! left, the beginnings of its prompt. Upstreams tell their load with each
-//! answer and refuse what they cannot take, so no sidecar stands between.
+//! Such a request carries everything that its routing depends on: the host and path, the remaining
+//! time and the prompt prefixes. Upstreams report their load with each answer and refuse requests
+//! beyond their capacity, so no sidecar is needed.
 
 mod learn;
-mod overdue;
 mod reply;
 mod send;
+mod timeout;
 
 use super::flight::Flight;
 use super::*;
@@ -18,149 +17,147 @@
 use crate::tree::Route;
 use crate::wire::{Confidence, Header, Load};
 
-/// From what confidence the answer of a smaller model is given, by the rank of
-/// the route, where the settings say nothing. The largest model holds an upstream for
-/// ten times as long as the smallest, so what earns less for its length is asked again
-/// less often. Measured on days of four sites (docs/MEASUREMENTS.md, *model choice*).
+/// The default of [`Settings::confidence_thresholds`]. The largest model occupies an upstream ten
+/// times as long as the smallest, so routes that earn less per token are escalated less often (see
+/// docs/MEASUREMENTS.md, *model choice*).
 pub const CONFIDENCE_THRESHOLDS: [Share; 3] = [Share::HALF, Share::percent(40), Share::percent(30)];
-/// How long a caller is told to stay away when upstreams are full.
-pub(super) const COME_BACK: Span = Span::from_millis(500);
+/// The minimum `Retry-After` when no upstream accepts a request.
+pub(super) const MIN_RETRY_AFTER: Span = Span::from_millis(500);
 
-/// A request that a route describes.
+/// A request that matches a route.
 #[derive(Clone, Debug)]
 pub struct Routed {
-    /// The name that the caller gave the request.
+    /// The request identifier that the caller sent.
     pub label: String,
-    /// The host asked for.
+    /// The requested host.
     pub host: String,
-    /// The call, with the headers that are passed on.
+    /// The call, with the headers to forward.
     pub call: Call,
-    /// How long the caller waits, if it says so.
+    /// The remaining time that the caller waits, if it sent one.
     pub time_left: Option<Span>,
-    /// Whether the caller leaves the choice of the model to the route.
+    /// Whether the route may choose the model.
     pub any_model: bool,
-    /// The tokens of the prompt.
+    /// The number of prompt tokens.
     pub tokens: u32,
-    /// The beginnings of the prompt that may be cached, the shortest first.
+    /// The prompt prefixes that may be cached, shortest first.
     pub prefixes: Vec<Prefix>,
-    /// What the session is known by.
+    /// The identifier of the session.
     pub session: Option<u64>,
-    /// Whether the caller goes on with a stream that broke off.
+    /// Whether the caller resumes an interrupted stream.
     pub is_resumption: bool,
 }
 
-/// What a route means for one request.
+/// The route of a request and the state of its attempts.
 #[derive(Clone, Debug)]
-pub(super) struct Terms {
+pub(super) struct RouteState {
     pub name: RouteId,
     pub route: Arc<Route>,
-    /// The place of the present model among the sizes of the route.
-    pub size: usize,
-    /// The beginnings of the prompt, as the present model names them.
-    pub chain: Vec<Prefix>,
-    /// The last event that the caller was given.
-    pub last: Option<u64>,
-    /// When the present run was sent.
-    pub sent: Time,
-    /// The runs so far.
+    /// The index of the current model in the sizes of the route.
+    pub size_index: usize,
+    /// The prompt prefixes, hashed for the current model.
+    pub prefixes: Vec<Prefix>,
+    /// The last event that was sent to the caller.
+    pub last_event: Option<u64>,
+    /// When the current run was sent.
+    pub sent_at: Time,
+    /// The number of runs, including the current one.
     pub runs: u16,
-    /// The runs before the present one that reached their upstreams.
-    pub arrivals: u16,
-    /// How many of them were taken from the budget of repeats.
-    pub paid: u16,
-    /// What the present run was expected to take.
-    pub outlook: Outlook,
-    /// Whether the present run has counted as slow before it began to answer.
-    pub told_slow: bool,
-    /// Whether the run before was answered with an error of a plain service.
-    pub erred: bool,
+    /// The number of earlier runs that reached their upstreams.
+    pub runs_reached: u16,
+    /// The number of retries charged to the budget.
+    pub charged: u16,
+    /// The estimate for the current run.
+    pub estimate: Estimate,
+    /// Whether the current run was recorded as slow before it started to answer.
+    pub recorded_slow: bool,
+    /// Whether the previous run ended with an error of a plain service.
+    pub retries_error: bool,
 }
 
-/// What a run was expected to take when it was sent.
+/// The expected work of a run when it was sent.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Outlook {
-    /// The tokens that its upstream had to read.
-    pub fresh: u32,
-    /// The time for reading them.
-    pub reading: Span,
-    /// The part of the time that is put down to what was to be read there before.
-    pub behind: Span,
-    /// Whether the upstream is still counted as reading.
-    pub reads: bool,
+pub(super) struct Estimate {
+    /// The prompt tokens that are not in the prefix cache of the upstream.
+    pub uncached_tokens: u32,
+    /// The prefill time of these tokens.
+    pub prefill: Span,
+    /// The wait for earlier prefills at the upstream.
+    pub wait: Span,
+    /// Whether the prefill still counts as pending at the upstream.
+    pub prefill_pending: bool,
 }
 
-impl Outlook {
-    /// Returns what was expected, for the record of a decision.
-    pub fn due(&self) -> Forecast {
+impl Estimate {
+    /// Returns the estimate in the form of the decision history.
+    pub fn forecast(&self) -> Forecast {
         Forecast {
-            uncached_tokens: self.fresh,
-            behind_ms: self.behind.millis(),
-            first_ms: self.first().millis(),
+            uncached_tokens: self.uncached_tokens,
+            behind_ms: self.wait.millis(),
+            first_ms: self.time_to_first_byte().millis(),
         }
     }
 
-    /// Returns the expected time to the beginning of the answer.
-    pub fn first(&self) -> Span {
-        self.behind + self.reading
+    /// Returns the expected time to the start of the answer.
+    pub fn time_to_first_byte(&self) -> Span {
+        self.wait + self.prefill
     }
 }
 
-impl Terms {
-    /// Returns what the time to the beginning of an answer is learned by.
-    pub fn subject(&self, pool: &PoolId) -> Workload {
-        match self.route.sizes.get(self.size) {
+impl RouteState {
+    /// Returns the key of the latency model.
+    pub fn workload(&self, pool: &PoolId) -> Workload {
+        match self.route.sizes.get(self.size_index) {
             Some(model) => Workload::Model(pool.clone(), model.clone()),
             None => Workload::Route(self.name.clone()),
         }
     }
 }
 
-/// An upstream that is called directly.
+/// An upstream that is called directly, without a sidecar.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name, which changes with each start.
+    /// The name, which changes with each start of the upstream.
     pub upstream: UpstreamId,
     /// The pool.
     pub pool: PoolId,
-    /// Where it is and what it runs.
+    /// Its location and release.
     pub placement: Placement,
-    /// The requests that it runs at a time, and what else is known of its load.
+    /// Its capacity and last known load.
     pub load: Load,
 }
 
-/// The beginning of an upstream's answer.
+/// The head of an upstream's answer.
 #[derive(Clone, Debug)]
 pub struct Head {
     /// The HTTP status.
     pub status: u16,
-    /// The headers that are passed on.
+    /// The headers to forward.
     pub headers: Vec<Header>,
-    /// How sure the model is of its answer.
+    /// The confidence of the model.
     pub confidence: Option<Confidence>,
-    /// What runs and waits at the upstream, and how much it runs at a time.
+    /// The numbers of running and queued requests and of slots.
     pub load: Option<(u32, u32, u32)>,
-    /// What the upstream says of itself.
+    /// The notice of the upstream about its own state.
     pub notice: Notice,
 }
 
-/// What an upstream that is called directly does with a run.
+/// An event of a run at an upstream that is called directly.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// The answer begins.
+    /// The head of the answer.
     Head(Head),
-    /// An answer that is not given says this of its upstream: of itself, and what runs and waits
-    /// there and how much it runs at a time.
+    /// The notice and the load (running, queued, slots) in an answer that is not delivered.
     Notice(Notice, Option<(u32, u32, u32)>),
-    /// Bytes of the answer; of a stream, whole events.
+    /// A chunk of the answer; for a stream, only complete events.
     Data {
-        /// The bytes.
+        /// The bytes of the chunk.
         data: Vec<u8>,
-        /// The number of the last event among them.
+        /// The number of the last event in the chunk.
         last_event: Option<u64>,
     },
-    /// The answer is whole.
+    /// The end of a complete answer.
     End,
-    /// There is no answer, or it broke off.
+    /// The run failed, before or in the middle of the answer.
     Fail(Failure),
 }
 
@@ -173,61 +170,62 @@
         self.peers.report(link, member.load, now);
         self.peers.heard_from(link, now);
         self.peers.joined(link, now);
-        // Once for a pool: of 3,000 upstreams that join together each would look at all others.
+        // Once per pool: with 3,000 upstreams that join together, a scan of all others for each
+        // would be quadratic.
         if !self.releases.has_baseline(&member.pool) {
             let present = self.peers.present_releases(&member.pool);
             self.releases.set_baseline(&member.pool, &present);
         }
     }
 
-    /// Finds the route and client account of a request.
-    pub(in crate::entry) fn locate(
+    /// Resolves the route and client account of a request.
+    pub(in crate::entry) fn resolve_route(
         &self,
         routed: &Routed,
         key: Option<&str>,
-    ) -> Result<(Context, Terms), Failure> {
+    ) -> Result<(Context, RouteState), Failure> {
         if self.tree.revision() == Revision(0) {
             let failure = Failure::not_run(Reason::NotReady, "no configuration is known yet");
-            return Err(failure.retry_after(COME_BACK));
+            return Err(failure.retry_after(MIN_RETRY_AFTER));
         }
         let found = self.tree.route_of(&routed.host, &routed.call.path);
         let (name, route) = found.ok_or_else(|| {
             let message = format!("no route for {}{}", routed.host, routed.call.path);
             Failure::not_run(Reason::UnknownPath, message)
         })?;
-        let site = route::identify_on_route(&self.tree, route, key)?;
+        let context = route::identify_on_route(&self.tree, route, key)?;
         if !route.sizes.is_empty() && !routed.any_model {
             let message = "this route chooses the model";
             return Err(Failure::not_run(Reason::ModelNamed, message));
         }
-        let terms = Terms {
+        let route_state = RouteState {
             name: name.clone(),
             route: route.clone(),
-            size: 0,
-            chain: Vec::new(),
-            last: None,
-            sent: Time::default(),
+            size_index: 0,
+            prefixes: Vec::new(),
+            last_event: None,
+            sent_at: Time::default(),
             runs: 0,
-            arrivals: 0,
-            paid: 0,
-            outlook: Outlook::default(),
-            told_slow: false,
-            erred: false,
+            runs_reached: 0,
+            charged: 0,
+            estimate: Estimate::default(),
+            recorded_slow: false,
+            retries_error: false,
         };
-        Ok((site, terms))
+        Ok((context, route_state))
     }
 
-    /// Returns what other entries are to be told of moves.
+    /// Returns the reports on moves for the other entries.
     pub fn move_reports(&mut self) -> Vec<(PoolId, release::Report)> {
         self.releases.take_reports()
     }
 
-    /// Returns what the move of a pool to another release is judged by.
+    /// Returns the evidence on the move of a pool to another release.
     pub fn move_grounds(&self, pool: &PoolId) -> release::Totals {
         self.releases.totals(pool)
     }
 
-    /// Returns what ought to be recorded about moves to other releases.
+    /// Returns the moves whose recorded state must change, with the new state.
     pub fn propose_moves(&self, now: Time) -> Vec<(release::Order, release::State)> {
         let running = |_: &PoolId, v: &VersionId| self.running.get(v).copied().unwrap_or(0);
         self.releases.propose(now, running)
@@ -235,52 +233,52 @@
 }
 
 impl Flight {
-    /// Returns what the present run tells about the release that answers, with
-    /// the time to its beginning.
-    fn tells(&self, now: Time, first: Option<Span>) -> Option<release::Answer<'_>> {
-        let terms = self.terms.as_ref()?;
+    /// Returns the current run as a sample for the comparison of releases; `first` is the time to
+    /// the start of the answer.
+    fn release_answer(&self, now: Time, first: Option<Span>) -> Option<release::Answer<'_>> {
+        let route_state = self.route_state.as_ref()?;
         Some(release::Answer {
             pool: &self.pool,
             release: self.version()?,
             upstream: self.upstream.as_ref()?,
-            kind: (&terms.name, terms.size),
-            expected: terms.outlook.first(),
-            sent: terms.sent,
+            kind: (&route_state.name, route_state.size_index),
+            expected: route_state.estimate.time_to_first_byte(),
+            sent: route_state.sent_at,
             seen: now,
             ttft: first,
         })
     }
 
     pub(super) fn routed(&self) -> Option<&Routed> {
-        match &self.ask.payload {
+        match &self.request.payload {
             Payload::Routed(routed) => Some(routed),
             _ => None,
         }
     }
 }
 
-// That a request which did not run may come back is added when it is given up.
-
-pub(super) fn none_left(pool: &PoolId) -> Failure {
+/// Returns the failure of a request without a usable upstream. [`Entry::fail`] adds a `Retry-After`
+/// to the failures of requests that did not run.
+pub(super) fn no_upstream(pool: &PoolId) -> Failure {
     let message = format!("no upstream of {pool} takes the request");
     Failure::not_run(Reason::NoUpstream, message)
 }
 
 impl Entry {
-    /// Returns the failure of a request that no upstream of its pool takes. Where they said why,
-    /// its caller may come back as soon as one takes requests again.
-    fn none_takes(&self, pool: &PoolId, now: Time) -> Failure {
+    /// Returns the failure of a request that no upstream of its pool accepts. If upstreams
+    /// announced when they accept requests again, the caller may retry then.
+    fn no_upstream_available(&self, pool: &PoolId, now: Time) -> Failure {
         Failure {
             retry_after: self
                 .peers
                 .available_in(pool, now)
-                .map(|left| left.max(COME_BACK)),
-            ..none_left(pool)
+                .map(|left| left.max(MIN_RETRY_AFTER)),
+            ..no_upstream(pool)
         }
     }
 }
 
 pub(super) fn timed_out(flight: &Flight) -> Failure {
-    let verdict = flight.known_verdict();
+    let verdict = flight.current_verdict();
     Failure::new(Reason::TimedOut, verdict, "the time allowed has passed")
 }
--- a/crates/core/src/entry/routed/send.rs
+++ b/crates/core/src/entry/routed/send.rs
@@ -1,26 +1,30 @@
-//! How a routed request is sent to an upstream.
+//! Sends routed requests to upstreams.
 
 use super::*;
 use crate::pick::{self, Chosen, Constraints, Peer};
 use crate::release::{Affinity, Canary, SESSION_TTL};
 use crate::wire::Metadata;
 
-/// The reading from which on other entries are told of it: it reaches them after some
-/// 60 ms, and what is shorter is mostly over by then.
-const TELL_FROM: Span = Span::from_millis(100);
+/// The minimum prefill time that is reported to other entries. A report arrives after about 60 ms,
+/// when shorter prefills are mostly complete.
+const MIN_REPORTED_PREFILL: Span = Span::from_millis(100);
 
 impl Entry {
-    /// Chooses pool and release for a routed request, and the few upstreams to which
-    /// a release on trial is held.
-    fn choose_routed(&mut self, now: Time, flight: &mut Flight) -> Result<Option<Canary>, Failure> {
-        let Some(terms) = &flight.terms else {
+    /// Chooses the pool and release of a routed request. Returns the subset of upstreams to which a
+    /// release on trial is restricted, if any.
+    fn select_release(
+        &mut self,
+        now: Time,
+        flight: &mut Flight,
+    ) -> Result<Option<Canary>, Failure> {
+        let Some(route_state) = &flight.route_state else {
             return Ok(None);
         };
         let session = flight.routed().and_then(|r| r.session);
         if flight.is_first() {
             let draw = self.rng.random::<f64>();
-            let pool = terms.route.pool(draw).cloned();
-            flight.pool = pool.ok_or_else(|| none_left(&flight.pool))?;
+            let pool = route_state.route.pool(draw).cloned();
+            flight.pool = pool.ok_or_else(|| no_upstream(&flight.pool))?;
             self.budget(&flight.pool).deposit(now);
         }
         let draw = self.rng.random::<f64>();
@@ -28,29 +32,33 @@
         let release = self
             .releases
             .choose(&flight.pool, session, draw, now, &present);
-        let few = release
+        let canary = release
             .as_ref()
             .and_then(|release| self.releases.canary(&flight.pool, release, now, &present));
         flight.choice = release.map(|version| Choice {
             version,
             cause: Cause::Split,
         });
-        self.note_stay(now, flight, flight.deadline.since(now) + SESSION_TTL);
-        Ok(few)
+        self.set_session_affinity(now, flight, flight.deadline.since(now) + SESSION_TTL);
+        Ok(canary)
     }
 
-    /// Notes at which release the session of a request is, and for how long its next request
-    /// may come.
-    pub(in crate::entry) fn note_stay(&mut self, now: Time, flight: &Flight, left: Span) {
+    /// Sets the session affinity of a request to its release; it expires after `left`.
+    pub(in crate::entry) fn set_session_affinity(
+        &mut self,
+        now: Time,
+        flight: &Flight,
+        left: Span,
+    ) {
         let session = flight.routed().and_then(|r| r.session);
         if let (Some(session), Some(release)) = (session, flight.version()) {
-            let stay = Affinity {
+            let affinity = Affinity {
                 pool: flight.pool.clone(),
                 release: release.clone(),
                 session,
                 left,
             };
-            self.releases.set_affinity(stay, now);
+            self.releases.set_affinity(affinity, now);
         }
     }
 
@@ -64,25 +72,30 @@
         if now >= flight.deadline {
             return Err(timed_out(flight));
         }
-        let few = self.choose_routed(now, flight)?;
-        flight.name_chain();
-        let subject = flight.terms.as_ref().map(|t| t.subject(&flight.pool));
-        let rate = subject.as_ref().map(|subject| self.readings.rate(subject));
-        let scope = self.scope(now, flight, rate);
-        let apart = self.apart(now, flight);
-        let wish = Criteria {
+        let canary = self.select_release(now, flight)?;
+        flight.hash_prefixes();
+        let workload = flight
+            .route_state
+            .as_ref()
+            .map(|t| t.workload(&flight.pool));
+        let rate = workload
+            .as_ref()
+            .map(|workload| self.latencies.rate(workload));
+        let scope = self.prefix_scope(now, flight, rate);
+        let avoided = self.avoided(now, flight);
+        let criteria = Criteria {
             pool: &flight.pool,
             tokens: flight.prompt_tokens(),
             urgent: false,
             rank: flight.rank(),
-            prefixes: flight.chain(),
-            shared_prefix: flight.shared(),
+            prefixes: flight.prefixes(),
+            shared_prefix: flight.shared_prefix(),
             last_upstream: None,
-            tried: &apart,
+            tried: &avoided,
             constraints: Constraints {
                 hall: self.settings.hall.as_ref(),
                 release: flight.version(),
-                subset: few,
+                subset: canary,
                 regions: flight.regions(),
             },
             prefill_rate: rate,
@@ -91,115 +104,121 @@
         let draw = self.rng.random::<f64>();
         let chosen = self
             .peers
-            .choose_distinct(&wish, &flight.tried, self.settings.policy, now, draw)
-            .ok_or_else(|| self.none_takes(&flight.pool, now))?;
+            .choose_distinct(&criteria, &flight.tried, self.settings.policy, now, draw)
+            .ok_or_else(|| self.no_upstream_available(&flight.pool, now))?;
         self.begin_run(now, flight, chosen.link)?;
-        let outlook = self.outlook(subject.as_ref(), &chosen);
-        self.peers.prefill_started(chosen.link, outlook.reading);
-        if outlook.reading >= TELL_FROM {
-            let number = self.peers.get(chosen.link).map(Peer::start_id);
-            out.extend(number.map(|number| Output::Prefill(number, outlook.reading)));
+        let estimate = self.estimate(workload.as_ref(), &chosen);
+        self.peers.prefill_started(chosen.link, estimate.prefill);
+        if estimate.prefill >= MIN_REPORTED_PREFILL {
+            let start_id = self.peers.get(chosen.link).map(Peer::start_id);
+            out.extend(start_id.map(|start_id| Output::Prefill(start_id, estimate.prefill)));
         }
-        self.history.note(flight.ask.request, |decision| {
+        self.history.update(flight.request.request, |decision| {
             if let Some(last) = decision.attempts.last_mut() {
-                last.forecast = Some(outlook.due());
+                last.forecast = Some(estimate.forecast());
             }
         });
-        if let Some(terms) = &mut flight.terms {
-            terms.sent = now;
-            terms.runs += 1;
-            terms.outlook = outlook;
-            terms.told_slow = false;
+        if let Some(route_state) = &mut flight.route_state {
+            route_state.sent_at = now;
+            route_state.runs += 1;
+            route_state.estimate = estimate;
+            route_state.recorded_slow = false;
         }
-        if let Some(start) = self.routed_start(now, flight) {
+        if let Some(start) = self.routed_start_frame(now, flight) {
             out.push(Output::Send(chosen.link, Frame::Start(Box::new(start))));
         }
         Ok(())
     }
 
-    /// Returns how widely the shared beginning of a request is kept, and notes that it
-    /// is asked for.
-    fn scope(&mut self, now: Time, flight: &Flight, rate: Option<Rate>) -> Scope {
-        let (Some(terms), Some(shared), Some(rate)) = (&flight.terms, flight.shared(), rate) else {
+    /// Returns the scope in which the shared prefix of a request is cached, and records its use.
+    fn prefix_scope(&mut self, now: Time, flight: &Flight, rate: Option<Rate>) -> Scope {
+        let (Some(route_state), Some(shared), Some(rate)) =
+            (&flight.route_state, flight.shared_prefix(), rate)
+        else {
             return Scope::Hall;
         };
-        let kind = (terms.name.clone(), terms.size);
+        let group = (route_state.name.clone(), route_state.size_index);
         if flight.run.attempt == 0 {
-            self.reuse.record(&kind, shared.hash, now);
+            self.reuse.record(&group, shared.hash, now);
         }
-        let reading = f64::from(shared.tokens) / rate.per_second().max(1.0);
+        let prefill = f64::from(shared.tokens) / rate.per_second().max(1.0);
         let halls = self.peers.hall_count(&flight.pool);
-        let reading = Span::from_secs_f64(reading);
-        let weight = self.strains.latency_weight(&flight.pool);
+        let prefill = Span::from_secs_f64(prefill);
+        let weight = self.saturation.latency_weight(&flight.pool);
         self.reuse
-            .scope(&kind, reading, self.entries, halls, weight)
+            .scope(&group, prefill, self.entries, halls, weight)
     }
 
-    /// Returns what a run is expected to take at the upstream chosen for it.
-    fn outlook(&self, subject: Option<&Workload>, chosen: &Chosen) -> Outlook {
-        let Some(subject) = subject else {
-            return Outlook::default();
+    /// Returns the estimate for a run at its chosen upstream.
+    fn estimate(&self, workload: Option<&Workload>, chosen: &Chosen) -> Estimate {
+        let Some(workload) = workload else {
+            return Estimate::default();
         };
-        Outlook {
-            fresh: chosen.uncached_tokens,
-            reading: self.readings.estimate(subject, chosen.uncached_tokens),
-            behind: pick::prefill_wait(chosen.pending_prefill),
-            reads: true,
+        Estimate {
+            uncached_tokens: chosen.uncached_tokens,
+            prefill: self.latencies.estimate(workload, chosen.uncached_tokens),
+            wait: pick::prefill_wait(chosen.pending_prefill),
+            prefill_pending: true,
         }
     }
 
-    fn routed_start(&self, now: Time, flight: &Flight) -> Option<Start> {
-        let (routed, terms) = (flight.routed()?, flight.terms.as_ref()?);
+    fn routed_start_frame(&self, now: Time, flight: &Flight) -> Option<Start> {
+        let (routed, route_state) = (flight.routed()?, flight.route_state.as_ref()?);
         let left = flight.deadline.since(now);
-        let account = &flight.site.account;
-        let order = Metadata {
+        let account = &flight.context.account;
+        let metadata = Metadata {
             label: routed.label.clone(),
-            account: flight.site.node.account.is_some().then(|| account.clone()),
+            account: flight
+                .context
+                .node
+                .account
+                .is_some()
+                .then(|| account.clone()),
             upstream: flight.upstream.clone(),
-            model: terms.route.sizes.get(terms.size).cloned(),
+            model: route_state.route.sizes.get(route_state.size_index).cloned(),
             rank: flight.rank(),
-            last_event_id: terms.last,
-            stream: terms.route.stream,
-            at_most_once: flight.once,
+            last_event_id: route_state.last_event,
+            stream: route_state.route.stream,
+            at_most_once: flight.at_most_once,
         };
         Some(Start {
             run: flight.run,
             account: account.clone(),
-            weight: flight.site.node.weight(),
-            class: flight.site.class,
+            weight: flight.context.node.weight(),
+            class: flight.context.class,
             version: flight.version().cloned(),
             deadline_us: left.micros(),
             tokens: flight.cost(),
             may_queue: true,
             revision: self.tree.revision(),
             call: routed.call.clone(),
-            metadata: Some(Box::new(order)),
+            metadata: Some(Box::new(metadata)),
         })
     }
 }
 
 impl Flight {
-    /// Returns the regions in which the request may be served, by its route and its client account.
+    /// Returns the regions that the route and the client account allow for the request.
     pub(in crate::entry) fn regions(&self) -> [Option<&BTreeSet<Region>>; 2] {
-        let terms = self.terms.as_ref();
-        let of_route = terms.and_then(|terms| terms.route.regions.as_ref());
-        [of_route, self.site.node.regions.as_ref()]
+        let route_state = self.route_state.as_ref();
+        let of_route = route_state.and_then(|route_state| route_state.route.regions.as_ref());
+        [of_route, self.context.node.regions.as_ref()]
     }
 
-    /// Returns the order among waiting requests: that of the client account goes before that of
-    /// the route.
+    /// Returns the queueing rank, ordered by the rank of the client account and then that of the
+    /// route.
     ///
-    /// What goes on with a stream that broke off goes behind all that is as urgent for
-    /// its account: it is late already, and after a loss of power to all entries the
-    /// streams of ten seconds come back at once.
+    /// A resumed stream ranks behind all new requests of the same account rank: it is already late,
+    /// and after all entries lost power the interrupted streams of about ten seconds return
+    /// together.
     fn rank(&self) -> u8 {
-        /// The ranks of routes that one rank of an account stands above.
+        /// The number of route ranks within one account rank.
         const ROUTES: u8 = 3;
-        /// The last rank that engines know.
+        /// The highest rank value that engines accept.
         const LAST: u8 = 9;
-        let account = self.site.node.rank.unwrap_or(0);
+        let account = self.context.node.rank.unwrap_or(0);
         let resumes = self.routed().is_some_and(|r| r.is_resumption);
-        let route = self.terms.as_ref().map_or(0, |t| t.route.rank);
+        let route = self.route_state.as_ref().map_or(0, |t| t.route.rank);
         account
             .saturating_add(u8::from(resumes))
             .saturating_mul(ROUTES)
