--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats, over several entries that share no counter.
+//! The retry budget over several entries without a shared counter.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -20,24 +20,23 @@
     Time(ms * 1_000)
 }
 
-/// What entries did, as upstreams and callers see it: when, and whether it was a repeat.
+/// The attempts of all entries: the time in milliseconds and whether it was a retry.
 #[derive(Default)]
-struct Seen(Vec<(u64, bool)>);
+struct Attempts(Vec<(u64, bool)>);
 
-impl Seen {
+impl Attempts {
     fn count(&self, from: u64, to: u64, repeats: bool) -> f64 {
         let within = |(ms, repeat): &&(u64, bool)| (from..to).contains(ms) && *repeat == repeats;
         self.0.iter().filter(within).count() as f64
     }
 
-    /// Returns by how much the worst window is over what is allowed.
-    fn worst(&self, allowance: &Allowance) -> f64 {
+    /// Returns the largest excess of retries over the allowance in any window.
+    fn max_excess(&self, allowance: &Allowance) -> f64 {
         let last = self.0.last().map_or(0, |(ms, _)| *ms);
         let windows = (0..last).step_by(250);
         let over = windows.map(|from| {
             let to = from + WINDOW_MS;
-            // The requests of the window, of the one before it or of the one between them,
-            // whichever holds the most.
+            // The maximum over the window, the previous one and the one halfway between them.
             let before = [0, WINDOW_MS / 2, WINDOW_MS];
             let starts = before.map(|before| from.saturating_sub(before));
             let requests = starts.map(|start| self.count(start, start + WINDOW_MS, false));
@@ -49,12 +48,13 @@
     }
 }
 
-/// Plays entries that repeat whatever they may. Requests come at rates from 10 to this power
-/// to the other a millisecond over all entries; all entries may be killed at once.
-fn play(seed: u64, entries: usize, powers: (f64, f64), kills: bool) -> Seen {
+/// Simulates entries that retry whenever the budget allows it. The rate of requests per millisecond
+/// over all entries is drawn from 10 to the power of `powers.0` to `powers.1`; with `kills`, all
+/// entries restart at the same moment.
+fn simulate(seed: u64, entries: usize, powers: (f64, f64), kills: bool) -> Attempts {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut budgets = vec![Budget::new(allowance()); entries];
-    let mut seen = Seen::default();
+    let mut attempts = Attempts::default();
     let mut rate = 0.02;
     let killed_at = 10_000 + rng.random_range(0..8_000);
     for ms in 0..36_000 {
@@ -67,37 +67,37 @@
             }
             if rng.random::<f64>() < rate {
                 budget.deposit(at(ms));
-                seen.0.push((ms, false));
+                attempts.0.push((ms, false));
             }
             while budget.withdraw(at(ms), entries) {
-                seen.0.push((ms, true));
+                attempts.0.push((ms, true));
             }
         }
     }
-    seen
+    attempts
 }
 
-/// 32 entries that had saved 20 repeats each spent them in one window, where 104 are allowed
-/// besides the share.
+/// Guards against budgets that accumulate per entry: 32 entries with 20 saved retries each would
+/// spend 640 in one window, where 104 are allowed in addition to the share.
 #[test_case(1, (-3.0, 0.7), false; "one entry")]
-#[test_case(3, (-3.0, 0.7), false; "three")]
-#[test_case(32, (-3.0, 0.7), false; "32, all full at once")]
-#[test_case(3, (-1.6, -1.2), true; "three at 25 to 63 requests a second that are killed and begin anew")]
-#[test_case(32, (-0.9, -0.5), true; "32 at 126 to 316 requests a second that are killed at once")]
-fn all_entries_together_keep_to_share_window_and_slack(
+#[test_case(3, (-3.0, 0.7), false; "three entries")]
+#[test_case(32, (-3.0, 0.7), false; "32 entries with full budgets")]
+#[test_case(3, (-1.6, -1.2), true; "three entries at 25 to 63 requests per second that restart at once")]
+#[test_case(32, (-0.9, -0.5), true; "32 entries at 126 to 316 requests per second that restart at once")]
+fn retries_of_all_entries_stay_within_the_allowance(
     entries: usize,
     powers: (f64, f64),
     kills: bool,
 ) {
     for seed in 0..12 {
-        let over = play(seed, entries, powers, kills).worst(&allowance());
+        let over = simulate(seed, entries, powers, kills).max_excess(&allowance());
         assert!(over <= 0.0, "{over} over with seed {seed}");
     }
 }
 
-/// On a quiet day of calcne-recife 6 of 10 requests are sent once more.
+/// Under normal load 6 of 10 requests are retried.
 #[test]
-fn a_usual_share_of_repeats_is_allowed_throughout() {
+fn a_usual_retry_rate_is_never_refused_after_startup() {
     let mut budget = Budget::new(allowance());
     let mut refused = [0, 0];
     for ms in 0..60_000 {
@@ -106,12 +106,12 @@
             refused[usize::from(ms >= 2 * WINDOW_MS)] += 1;
         }
     }
-    assert!(refused[0] < 1_500, "at the beginning: {refused:?}");
+    assert!(refused[0] < 1_500, "during startup: {refused:?}");
     assert_eq!(refused[1], 0);
 }
 
 #[test]
-fn a_request_long_ago_allows_nothing() {
+fn old_requests_allow_no_retries() {
     let tight = Allowance {
         slack: 0,
         ..allowance()
