--- a/crates/core/src/entry/answer.rs
+++ b/crates/core/src/entry/answer.rs
@@ -237,8 +237,8 @@
         };
         let in_order = flight.parts == seq;
         flight.parts += 1;
-        let judged = flight.is_buffered();
-        if judged || (sampled && flight.chat().is_some()) {
+        let buffered = flight.is_buffered();
+        if buffered || (sampled && flight.chat().is_some()) {
             flight.body.extend_from_slice(&data);
         }
         if !self.invariants.check(Invariant::WholeAnswer, in_order) {
@@ -246,7 +246,7 @@
             let failure = Failure::new(Reason::Invariant, Verdict::Ran, message);
             return self.abort_run(now, run, failure, out);
         }
-        if !judged {
+        if !buffered {
             out.push(Output::Answer(run.request, Part::Data(data)));
         }
     }
@@ -318,7 +318,7 @@
         }
         self.submit_sample(&flight, finish.confidence, accepted, out);
         if !accepted {
-            let kept = Buffered {
+            let buffered = Buffered {
                 version: flight
                     .version()
                     .cloned()
@@ -329,7 +329,7 @@
                 body: std::mem::take(&mut flight.body),
                 confidence: finish.confidence,
             };
-            flight.fallback = Some(kept);
+            flight.fallback = Some(buffered);
             return self.escalate(now, flight, name, next.unwrap_or(step + 1), out);
         }
         let body = std::mem::take(&mut flight.body);
@@ -504,20 +504,20 @@
         let Some(mut flight) = self.flights.remove(&request) else {
             return;
         };
-        let Some(kept) = flight.fallback.take() else {
+        let Some(fallback) = flight.fallback.take() else {
             return;
         };
-        flight.status = kept.status;
-        flight.headers = kept.headers;
-        flight.run.step = kept.step as u16;
+        flight.status = fallback.status;
+        flight.headers = fallback.headers;
+        flight.run.step = fallback.step as u16;
         if let Some(choice) = &mut flight.choice {
-            choice.version = kept.version;
+            choice.version = fallback.version;
         }
         let finish = Finish {
             usage: Usage::default(),
-            confidence: kept.confidence,
+            confidence: fallback.confidence,
         };
-        self.send_buffered(now, flight, kept.body, finish, out);
+        self.send_buffered(now, flight, fallback.body, finish, out);
     }
 
     /// Ends a request without a complete answer.
@@ -607,7 +607,7 @@
     Retry,
     /// Choose a version again.
     Reselect,
-    /// Wait for the newer configuration, which the link is already sending.
+    /// Wait for the newer configuration, which is being distributed.
     Wait,
     /// Deliver the answer of an earlier cascade step.
     Fallback,
--- a/crates/core/src/entry/dispatch.rs
+++ b/crates/core/src/entry/dispatch.rs
@@ -58,13 +58,13 @@
                 return Ok((Choice { version, cause }, steps.len()));
             }
         }
-        let left: Vec<usize> = (step..steps.len())
+        let candidates: Vec<usize> = (step..steps.len())
             .filter(|i| usable(&steps[*i].version))
             .collect();
         let draw = self.rng.random::<f64>();
         let class = flight.context.class;
-        let selected = left.iter().copied().find(|i| {
-            let last = left.last() == Some(i);
+        let selected = candidates.iter().copied().find(|i| {
+            let last = candidates.last() == Some(i);
             last || self
                 .policy(name, *i, class)
                 .is_none_or(|p| p.should_query(draw))
@@ -152,8 +152,8 @@
         flight: &mut Flight,
         link: Link,
     ) -> Result<(), Failure> {
-        let working = self.peers.gets_work(link);
-        self.ensure(Invariant::Leaving, working)?;
+        let available = self.peers.gets_work(link);
+        self.ensure(Invariant::Leaving, available)?;
         let may_run = !flight.at_most_once || flight.verdict.may_repeat();
         self.ensure(Invariant::AtMostOnce, may_run)?;
         self.record_attempt(now, flight, Some(link), String::new());
@@ -199,12 +199,12 @@
         }
         self.ensure(Invariant::Withdrawn, serving)?;
         if let Some(session) = &flight.session {
-            let kept = session.version == *version;
+            let same_version = session.version == *version;
             let moved = choice.cause == Cause::Moved(session.version.clone());
-            let gone = !flight.context.node.allows_version(&session.version)
+            let unusable = !flight.context.node.allows_version(&session.version)
                 || !route::takes_work(&self.tree, &session.version)
                 || self.monitor.is_suspect(&session.version);
-            self.ensure(Invariant::Session, kept || (moved && gone))?;
+            self.ensure(Invariant::Session, same_version || (moved && unusable))?;
         }
         Ok(())
     }
--- a/crates/core/src/entry/learn.rs
+++ b/crates/core/src/entry/learn.rs
@@ -168,9 +168,9 @@
 
     /// Returns the link to the home sidecar, which keeps the soft state of a subject.
     fn home_link(&self, subject: &str) -> Option<Link> {
-        let staying = || self.peers.iter().filter(|(_, p)| !p.leaving);
-        let upstream = subset::home(subject, staying().map(|(_, p)| &p.upstream))?;
-        staying()
+        let active = || self.peers.iter().filter(|(_, p)| !p.leaving);
+        let upstream = subset::home(subject, active().map(|(_, p)| &p.upstream))?;
+        active()
             .find(|(_, p)| p.upstream == *upstream)
             .map(|(link, _)| link)
     }
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -62,7 +62,7 @@
 
 /// The maximum number of attempts per step.
 const MAX_ATTEMPTS: u16 = 4;
-/// The `Retry-After` of a refusal when upstreams name no shorter wait.
+/// The `Retry-After` of a refusal unless upstreams report a longer wait.
 const RETRY_AFTER: Span = Span::from_millis(1000);
 
 /// The process settings of an entry.
@@ -141,7 +141,8 @@
     Move(release::Order, Option<release::State>, Option<Time>),
     /// The combined report of the other entries of a data hall about a move.
     ReleaseReport(PoolId, Hall, release::Report),
-    /// Another entry sent a prompt with this prefill time to the upstream with this number.
+    /// Another entry sent a prompt with this prefill time to the upstream with this start
+    /// identifier.
     Prefill(u64, Span),
     /// Another entry reported the affinity of a session to a release.
     SessionAffinity(release::Affinity),
@@ -229,12 +230,12 @@
     Ahead(Link, Revision),
     /// A version became suspect.
     Suspect(VersionId),
-    /// Tell the other entries that the upstream with this number received a prompt with this
-    /// prefill time.
+    /// Report to the other entries that the upstream with this start identifier received a prompt
+    /// with this prefill time.
     Prefill(u64, Span),
-    /// Tell the other entries of the affinity of a session to a release.
+    /// Report the affinity of a session to a release to the other entries.
     SessionAffinity(release::Affinity),
-    /// Tell the other entries of an upstream crash with the requests that ran there, or that a
+    /// Report to the other entries an upstream crash with the requests that ran there, or that a
     /// suspect request was answered.
     QuarantineUpdate(quarantine::Update),
     /// Relay a notice of an upstream to the other entries.
@@ -464,10 +465,10 @@
     fn set_entries(&mut self, entries: &[InstanceId], now: Time) {
         let own = &self.settings.instance;
         self.peers.set_entries(own, entries.iter(), now);
-        let n = 1 + entries.iter().filter(|name| *name != own).count();
-        self.entries = n;
-        self.limits.set_entries(n);
-        self.monitor.set_entries(n);
+        let count = 1 + entries.iter().filter(|name| *name != own).count();
+        self.entries = count;
+        self.limits.set_entries(count);
+        self.monitor.set_entries(count);
     }
 
     fn set_tree(&mut self, now: Time, tree: Arc<Tree>, out: &mut Outputs) {
@@ -549,7 +550,7 @@
         context: Context,
         incoming: Request,
     ) -> Result<Decision, Failure> {
-        let asked = incoming.payload.name();
+        let requested = incoming.payload.name();
         let request = incoming.request;
         let mut flight = self.prepare(now, incoming, context)?;
         self.select_version(&mut flight)?;
@@ -571,7 +572,7 @@
             scope: Scope::Hall,
         };
         let link = self.peers.pick(&criteria, self.settings.policy, now, 0.0);
-        self.history.begin(request, self.tree.revision(), asked);
+        self.history.begin(request, self.tree.revision(), requested);
         self.record_attempt(now, &flight, link, "not sent".into());
         self.history.update(request, |d| {
             d.node = Some(flight.context.path.clone());
--- a/crates/core/src/entry/monitor.rs
+++ b/crates/core/src/entry/monitor.rs
@@ -144,10 +144,10 @@
         let Some(state) = self.versions.get(version) else {
             return (in_flight as f64) < (ALLOWANCE / entries).max(1.0);
         };
-        let all = state.larger();
-        let bad = all.ratings as f64 - all.sum;
+        let evidence = state.larger();
+        let bad = evidence.ratings as f64 - evidence.sum;
         let allowance =
-            (ALLOWANCE + ALLOWANCE_PER_GOOD * all.sum - ALLOWANCE_PER_BAD * bad) / entries;
+            (ALLOWANCE + ALLOWANCE_PER_GOOD * evidence.sum - ALLOWANCE_PER_BAD * bad) / entries;
         (state.own.unrated() + in_flight) as f64 <= allowance.max(1.0)
     }
 
@@ -175,25 +175,25 @@
             return false;
         };
         let mut thresholds = thresholds(rollout);
-        let before = self.is_suspect(version);
+        let was_suspect = self.is_suspect(version);
         let entries = self.entries.max(1);
         let state = self.versions.entry(version.clone()).or_default();
         count(&mut state.own, &thresholds);
         thresholds.false_alarm *= (1.0 - HOME_ALARM_SHARE) / entries as f64;
         state.detector.update(&state.own, &thresholds);
-        !before && self.is_suspect(version)
+        !was_suspect && self.is_suspect(version)
     }
 
     /// Applies the pooled evidence and verdict of the home sidecar; returns whether the version
     /// became suspect by it.
     pub fn merge_pooled(&mut self, version: &VersionId, evidence: Evidence, bad: bool) -> bool {
-        let before = self.is_suspect(version);
+        let was_suspect = self.is_suspect(version);
         let state = self.versions.entry(version.clone()).or_default();
         if evidence.answers + evidence.ratings >= state.pooled.answers + state.pooled.ratings {
             state.pooled = evidence;
         }
         state.pooled_bad |= bad;
-        !before && self.is_suspect(version)
+        !was_suspect && self.is_suspect(version)
     }
 
     /// Returns the evidence that changed since it was last sent, and marks it as sent.
--- a/crates/core/src/entry/request.rs
+++ b/crates/core/src/entry/request.rs
@@ -142,9 +142,9 @@
         self.max_tokens + self.prompt_tokens / 16
     }
 
-    /// Returns the call to send to an engine; `judge` requests log probabilities, from which the
+    /// Returns the call to send to an engine; `logprobs` requests log probabilities, from which the
     /// confidence is computed.
-    pub fn call(&self, version: &VersionId, stream: bool, judge: bool) -> Call {
+    pub fn call(&self, version: &VersionId, stream: bool, logprobs: bool) -> Call {
         let mut body = self.body.clone();
         body.insert("model".into(), version.as_str().into());
         body.insert("stream".into(), stream.into());
@@ -154,7 +154,7 @@
                 serde_json::json!({"include_usage": true}),
             );
         }
-        if judge {
+        if logprobs {
             body.insert("logprobs".into(), true.into());
         }
         Call {
--- a/crates/core/src/entry/routed/learn.rs
+++ b/crates/core/src/entry/routed/learn.rs
@@ -135,13 +135,13 @@
     /// Records whether a retry at another upstream after an error succeeded.
     pub(super) fn record_retry_outcome(&mut self, request: RequestId, good: bool) {
         let flight = self.flights.get_mut(&request);
-        let Some((flight, route_state)) =
+        let Some((pool, route_state)) =
             flight.and_then(|f| f.route_state.as_mut().map(|t| (&f.pool, t)))
         else {
             return;
         };
         if std::mem::take(&mut route_state.retries_error) {
-            self.retry_outcomes.record(flight, &route_state.name, good);
+            self.retry_outcomes.record(pool, &route_state.name, good);
         }
     }
 
--- a/crates/core/src/entry/routed/mod.rs
+++ b/crates/core/src/entry/routed/mod.rs
@@ -18,10 +18,10 @@
 use crate::wire::{Confidence, Header, Load};
 
 /// The default of [`Settings::confidence_thresholds`]. The largest model occupies an upstream ten
-/// times as long as the smallest, so routes that earn less per token are escalated less often (see
-/// docs/MEASUREMENTS.md, *model choice*).
+/// times as long as the smallest, so routes whose answers earn less for their length are escalated
+/// less often (see docs/MEASUREMENTS.md, *model choice*).
 pub const CONFIDENCE_THRESHOLDS: [Share; 3] = [Share::HALF, Share::percent(40), Share::percent(30)];
-/// The minimum `Retry-After` when no upstream accepts a request.
+/// The minimum and default `Retry-After` of routed requests that did not run.
 pub(super) const MIN_RETRY_AFTER: Span = Span::from_millis(500);
 
 /// A request that matches a route.
--- a/crates/core/src/entry/routed/reply.rs
+++ b/crates/core/src/entry/routed/reply.rs
@@ -395,8 +395,8 @@
             // The limit on runs does not apply, because nothing ran: otherwise a stream breaks off
             // when an upstream refuses to resume it. A refusal still counts as reaching the
             // upstream.
-            let may = flight.verdict.may_repeat() || !flight.at_most_once;
-            return may && self.charge_retry(now, request, failure.reason != Reason::LinkLost);
+            let may_run = flight.verdict.may_repeat() || !flight.at_most_once;
+            return may_run && self.charge_retry(now, request, failure.reason != Reason::LinkLost);
         }
         if flight.at_most_once || route_state.runs >= route_state.route.tries {
             return false;
--- a/crates/core/src/entry/routed/send.rs
+++ b/crates/core/src/entry/routed/send.rs
@@ -213,16 +213,16 @@
     /// together.
     fn rank(&self) -> u8 {
         /// The number of route ranks within one account rank.
-        const ROUTES: u8 = 3;
+        const ROUTE_RANKS: u8 = 3;
         /// The highest rank value that engines accept.
-        const LAST: u8 = 9;
+        const MAX_RANK: u8 = 9;
         let account = self.context.node.rank.unwrap_or(0);
         let resumes = self.routed().is_some_and(|r| r.is_resumption);
         let route = self.route_state.as_ref().map_or(0, |t| t.route.rank);
         account
             .saturating_add(u8::from(resumes))
-            .saturating_mul(ROUTES)
-            .saturating_add(route.min(ROUTES - 1))
-            .min(LAST)
+            .saturating_mul(ROUTE_RANKS)
+            .saturating_add(route.min(ROUTE_RANKS - 1))
+            .min(MAX_RANK)
     }
 }
--- a/crates/core/src/entry/routed/timeout.rs
+++ b/crates/core/src/entry/routed/timeout.rs
@@ -18,25 +18,25 @@
         }
         self.last_tick = now;
         self.record_slow_waits(now);
-        let mut due: Vec<RequestId> = Vec::new();
+        let mut expired: Vec<RequestId> = Vec::new();
         let mut stalled: Vec<(RequestId, Link, Run)> = Vec::new();
         for (request, flight) in &self.flights {
             let Some(route_state) = &flight.route_state else {
                 continue;
             };
             if now >= flight.deadline {
-                due.push(*request);
+                expired.push(*request);
             } else if let Some(link) = self.stalled_link(now, flight, route_state) {
                 stalled.push((*request, link, flight.run));
             }
         }
-        due.sort_unstable();
+        expired.sort_unstable();
         stalled.sort_unstable();
-        for request in due {
+        for request in expired {
             self.expire(now, request, out);
         }
         for (request, link, run) in stalled {
-            self.leave_stalled(now, request, link, run, out);
+            self.abandon_stalled(now, request, link, run, out);
         }
     }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    fn leave_stalled(
+    fn abandon_stalled(
         &mut self,
         now: Time,
         request: RequestId,
