--- a/crates/daemon/src/hosted/event_loop.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -73,8 +73,8 @@
 /// How often the sizes of what an entry keeps are told in the log.
 const STATE_EVERY: Span = Span::from_millis(10_000);
 
-/// How often all tables are asked for at once since the store came back: one that tells another era with
-/// each answer is asked by the pauses of each table.
+/// How often all tables are asked for at once since the store came back: one that tells another
+/// era with each answer is asked by the pauses of each table.
 const RESTORED: Span = Span::from_millis(1_000);
 
 /// What reaches the loop.
@@ -618,7 +618,7 @@
         for replaced in self.mirror.take_replaced() {
             info!(
                 "event=table-restored table={:?} stamp={} before={} kept={:?} from={from}",
-                replaced.table, replaced.now, replaced.before, replaced.kept
+                replaced.table, replaced.after, replaced.before, replaced.retained
             );
         }
         for held in self.mirror.take_suspects() {
@@ -626,7 +626,7 @@
                 "event=held upstreams={:?} of={} for_ms={}",
                 held.keys,
                 held.listed,
-                held.span.millis()
+                held.grace_period.millis()
             );
         }
         for trouble in self.mirror.take_malformed() {
@@ -720,7 +720,7 @@
             }
             Update::Quarantine(fingerprint, record) => self.hold(fingerprint, record),
             Update::Entry(peer) => {
-                self.peering.learn(peer.name.clone(), peer.address);
+                self.peering.add_peer(peer.name.clone(), peer.address);
                 self.relay.learn(peer);
             }
         }
@@ -861,7 +861,7 @@
         }
         self.asked = now;
         self.in_vain += 1;
-        self.peering.ask(&self.mirror, &self.shared);
+        self.peering.request_tables(&self.mirror, &self.shared);
     }
 
     /// Gives the decisions an input and does what they say.
--- a/crates/daemon/src/hosted/followers.rs
+++ b/crates/daemon/src/hosted/followers.rs
@@ -345,8 +345,9 @@
         }
     }
 
-    /// Reads what comes next. Where the operator's table is not answered for in time, the connection
-    /// may be dead: it is asked for over others as well, and the first answer counts.
+    /// Reads what comes next. Where the operator's table is not answered for in time, the
+    /// connection may be dead: it is asked for over others as well, and the first answer
+    /// counts.
     async fn next(&self) -> Result<Read, Trouble> {
         let wait = self.wait();
         let first = self.call(wait);
--- a/crates/daemon/src/hosted/hints.rs
+++ b/crates/daemon/src/hosted/hints.rs
@@ -1,6 +1,5 @@
-//! What entries tell one another at once, over the links by which tables are handed down: the
-//! long prompts that they sent, the sessions that stay at their release, the requests under
-//! which upstreams crashed, and what upstreams said of themselves.
+//! Hints that entries send one another at once over the replication links: prefill times of
+//! long prompts, session affinities, quarantine updates and notices of upstreams.
 
 use super::relay::Command;
 use sorreldeck::notice;
@@ -9,105 +8,108 @@
 use sorreldeck::{Span, Time};
 use std::collections::BTreeMap;
 
-/// The most prompts that wait to be told over one link; a reader that is far behind would
-/// tell what has been read long ago.
-const MOST_PROMPTS: usize = 256;
-/// The most sessions that wait to be told over one link, or are remembered: what they tell
-/// holds for seconds, and some ten a second are told on installations of hundreds of entries.
-const MOST_STAYS: usize = 4_096;
+/// Maximum number of prompts that are queued for a link. If the peer is far behind, further
+/// ones would have been read by the time that they arrive.
+const MAX_PROMPTS: usize = 256;
+/// Maximum number of session affinities that are queued for a link or remembered. Each is valid
+/// for seconds, and installations with hundreds of entries have about ten a second.
+const MAX_AFFINITIES: usize = 4_096;
 
-/// The most upstreams and requests that wait to be told of over one link: more crash only where
-/// all do, and then no request is found out by it.
-const MOST_WORDS: usize = 512;
+/// Maximum number of quarantine updates that are queued for a link. More upstreams crash only
+/// if all of them do, and then the crashes do not identify a request.
+const MAX_QUARANTINE_UPDATES: usize = 512;
 
-/// The most that waits to be told over one link of what upstreams said of themselves.
-const MOST_NOTICES: usize = 1_024;
+/// Maximum number of notices of upstreams that are queued for a link.
+const MAX_NOTICES: usize = 1_024;
 
-/// What waits to be told over a link, or was told.
+/// Hints that are queued for a link or arrived over it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Hints {
-    /// The prompts: the number of the upstream, and how long reading takes, in milliseconds.
+    /// Prompts: the number of the upstream and the prefill time in milliseconds.
     pub prompts: Vec<(u64, u32)>,
-    /// The sessions.
-    pub stays: Vec<Affinity>,
-    /// The requests under which upstreams crashed, and when that was noted here.
-    pub words: Vec<(Update, Time)>,
-    /// What upstreams said of themselves.
+    /// Sessions that are bound to their release by affinity.
+    pub affinities: Vec<Affinity>,
+    /// Quarantine updates, and when each was recorded in this process.
+    pub quarantine: Vec<(Update, Time)>,
+    /// Notices of upstreams.
     pub notices: Vec<notice::Update>,
 }
 
 impl Hints {
-    /// Returns whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.prompts.is_empty()
-            && self.stays.is_empty()
-            && self.words.is_empty()
+            && self.affinities.is_empty()
+            && self.quarantine.is_empty()
             && self.notices.is_empty()
     }
 
-    /// Returns the requests as they are told now.
-    pub fn words_at(&self, now: Time) -> Vec<Update> {
-        let words = self.words.iter().cloned();
-        words
-            .map(|(word, at)| word.delayed(now.since(at)))
+    /// Returns the quarantine updates with their ages as of `now`.
+    pub fn quarantine_at(&self, now: Time) -> Vec<Update> {
+        let quarantine = self.quarantine.iter().cloned();
+        quarantine
+            .map(|(update, at)| update.delayed(now.since(at)))
             .collect()
     }
 
-    /// Puts more in line, as far as there is room.
+    /// Queues more hints, up to the maximum of each kind.
     pub fn extend(&mut self, more: &Hints) {
-        if self.prompts.len() < MOST_PROMPTS {
+        if self.prompts.len() < MAX_PROMPTS {
             self.prompts.extend_from_slice(&more.prompts);
         }
-        if self.stays.len() < MOST_STAYS {
-            self.stays.extend_from_slice(&more.stays);
+        if self.affinities.len() < MAX_AFFINITIES {
+            self.affinities.extend_from_slice(&more.affinities);
         }
-        if self.words.len() < MOST_WORDS {
-            self.words.extend_from_slice(&more.words);
+        if self.quarantine.len() < MAX_QUARANTINE_UPDATES {
+            self.quarantine.extend_from_slice(&more.quarantine);
         }
-        if self.notices.len() < MOST_NOTICES {
+        if self.notices.len() < MAX_NOTICES {
             self.notices.extend_from_slice(&more.notices);
         }
     }
 
-    /// Returns what the decisions of this entry are to take in.
-    pub fn orders(&self) -> Vec<Command> {
-        let reads = |(number, ms): &(u64, u32)| {
-            let reading = Span::from_millis(u64::from(*ms));
-            Command::Prefill(*number, reading)
+    /// Returns the commands that pass the hints to the decisions of this entry.
+    pub fn commands(&self) -> Vec<Command> {
+        let prefill = |(number, ms): &(u64, u32)| {
+            let prefill_time = Span::from_millis(u64::from(*ms));
+            Command::Prefill(*number, prefill_time)
         };
-        let prompts = self.prompts.iter().map(reads);
-        let stays = self.stays.iter().cloned().map(Command::Affinity);
-        let words = self
-            .words
+        let prompts = self.prompts.iter().map(prefill);
+        let affinities = self.affinities.iter().cloned().map(Command::Affinity);
+        let quarantine = self
+            .quarantine
             .iter()
-            .map(|(word, _)| Command::Quarantine(word.clone()));
+            .map(|(update, _)| Command::Quarantine(update.clone()));
         let notices = self.notices.iter().copied().map(Command::Notice);
-        prompts.chain(stays).chain(words).chain(notices).collect()
+        prompts
+            .chain(affinities)
+            .chain(quarantine)
+            .chain(notices)
+            .collect()
     }
 }
 
-/// The sessions that stay at their release, as far as they are known, for entries that ask
-/// for tables later.
+/// The session affinities that are known, for entries that subscribe later.
 #[derive(Clone, Debug, Default)]
-pub struct Stays(BTreeMap<u64, (Affinity, Time)>);
+pub struct Affinities(BTreeMap<u64, (Affinity, Time)>);
 
-impl Stays {
-    /// Notes sessions.
-    pub fn note(&mut self, stays: &[Affinity], now: Time) {
-        for stay in stays {
-            self.0.insert(stay.session, (stay.clone(), now + stay.left));
+impl Affinities {
+    /// Adds or renews session affinities.
+    pub fn record(&mut self, affinities: &[Affinity], now: Time) {
+        for affinity in affinities {
+            self.0
+                .insert(affinity.session, (affinity.clone(), now + affinity.left));
         }
-        if self.0.len() > MOST_STAYS {
+        if self.0.len() > MAX_AFFINITIES {
             self.0.retain(|_, (_, until)| now < *until);
         }
     }
 
-    /// Returns those whose next request may still come.
+    /// Returns the sessions whose affinity has not expired.
     pub fn live(&self, now: Time) -> Vec<Affinity> {
         let live = self.0.values().filter(|(_, until)| now < *until);
-        let left = |(stay, until): &(Affinity, Time)| Affinity {
+        let left = |(affinity, until): &(Affinity, Time)| Affinity {
             left: until.since(now),
-            ..stay.clone()
+            ..affinity.clone()
         };
         live.map(left).collect()
     }
--- a/crates/daemon/src/hosted/holds.rs
+++ b/crates/daemon/src/hosted/holds.rs
@@ -123,7 +123,7 @@
 /// Fails when the row is no record.
 pub fn decode(value: &[u8]) -> sorreldeck::Result<Record> {
     serde_json::from_slice(value).map_err(|e| {
-        let message = format!("a request that is held back: {e}");
+        let message = format!("invalid record of a quarantined request: {e}");
         sorreldeck::Error::new(sorreldeck::Category::Invalid, message)
     })
 }
--- a/crates/daemon/src/hosted/mirror/mod.rs
+++ b/crates/daemon/src/hosted/mirror/mod.rs
@@ -1,20 +1,20 @@
-//! What this process knows of the tables in the platform's store, and what a
-//! change of them means.
+//! Local mirror of the platform's store tables, and the updates that follow from changes of
+//! their rows.
 //!
-//! Pages come from the store or, while it is out of reach, from other entries;
-//! an older page never replaces a newer one.
+//! Pages come from the store or, while it is unreachable, from other entries. A page older than
+//! the mirrored one never replaces it.
 
 mod moves;
 mod upstreams;
 
 pub use moves::Rewrite;
 
-use self::moves::Written;
-use self::upstreams::Start;
+use self::moves::OrderRow;
+use self::upstreams::Identity;
 use super::holds::{self, Record};
 use super::pack;
 use super::reconcile;
-use super::replica::{Conflict, Delta, Kept, Replica, Rows};
+use super::replica::{Conflict, Delta, Replica, Retained, Rows};
 use sorreldeck::era::{Era, Freshness, Stamp, Tracker};
 use sorreldeck::quarantine::Fingerprint;
 use sorreldeck::release::{Order, State};
@@ -28,117 +28,115 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The beginning of the keys of rows in which entries tell where they are.
+/// Key prefix of the rows in which entries publish their addresses.
 pub const ENTRY_PREFIX: &str = "entry/";
-/// The longest time between two answers of the store that is not away: a wait takes up to 1.4 s.
-const HEARD: Span = Span::from_millis(1_500);
+/// Maximum time between two answers of a reachable store: a long poll takes up to 1.4 s.
+const CONTACT_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// What a change of the tables means.
+/// An update that follows from changed rows.
 #[derive(Debug)]
 pub enum Update {
     /// A newer configuration.
     Config(Box<Configuration>),
-    /// An upstream can be called.
+    /// An upstream that can be called.
     Joined(Box<Listed>),
-    /// An upstream takes no new work.
+    /// An upstream that gets no new requests.
     Retired(UpstreamId),
-    /// An upstream is cold for so long yet.
+    /// An upstream that is still warming up, and for how much longer.
     Cold(UpstreamId, Span),
-    /// The data halls that are to be empty, all of them.
+    /// All data halls that are to be evacuated.
     Evacuated(BTreeSet<Hall>),
-    /// A move to another release, its record and when that was made.
+    /// A roll-out order, the state recorded for it and the time at which that record was made.
     Move(Order, Option<State>, Option<Time>),
-    /// An entry that can be asked, and has announced itself.
+    /// Another entry that has published its address.
     Entry(Peer),
-    /// What is recorded of a request that is held back, or that nothing is any more.
+    /// The quarantine record of a request, or `None` after the record was removed.
     Quarantine(Fingerprint, Option<Record>),
 }
 
-/// What cannot be understood, for the log.
+/// A row that could not be decoded; logged.
 #[derive(Clone, Debug)]
 pub struct Malformed {
-    /// The table.
     pub table: Table,
-    /// The key of the row.
     pub key: String,
-    /// A sentence for people.
+    /// The cause, for the log.
     pub message: String,
 }
 
-/// Upstreams whose rows vanished and that are kept, since their leases may have lapsed; for
-/// the log.
+/// Upstreams whose rows vanished and that are retained because their leases may only have
+/// lapsed; logged.
 #[derive(Clone, Debug)]
 pub struct Suspects {
-    /// Their keys.
+    /// The keys of these upstreams.
     pub keys: Vec<String>,
-    /// How many upstreams were listed before.
+    /// The number of upstreams that were listed before their rows vanished.
     pub listed: usize,
-    /// For how long they are kept.
-    pub span: Span,
+    /// The grace period for which they are retained.
+    pub grace_period: Span,
 }
 
-/// A page that was read and changes nothing, since a later version is known or the table must
-/// be read whole; for the log.
+/// A page that was ignored because a later version is known, or because the table must be read
+/// as a whole first; logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ignored {
-    /// The table.
     pub table: Table,
-    /// The version that the page names.
+    /// The version of the page.
     pub version: u64,
-    /// What is known.
+    /// The version and era that are mirrored.
     pub known: Stamp,
-    /// The era that the store told with it.
+    /// The era that the store sent with the page.
     pub era: Option<Era>,
 }
 
-/// A table that was read whole after the store came back from a copy; for the log.
+/// A table that was read as a whole after the store was restored from a backup; logged.
 #[derive(Clone, Debug)]
 pub struct Replaced {
-    /// The table.
     pub table: Table,
-    /// What was known of it.
+    /// The mirrored version and era before the read.
     pub before: Stamp,
-    /// What is known of it now.
-    pub now: Stamp,
-    /// The keys of rows that hold though the store has lost them.
-    pub kept: Vec<String>,
+    /// The mirrored version and era after the read.
+    pub after: Stamp,
+    /// The keys of rows that remain valid although the store lost them.
+    pub retained: Vec<String>,
 }
 
-/// What became of changes that another entry handed on.
+/// The outcome of applying a delta from another entry.
 #[derive(Debug)]
 pub enum Merge {
-    /// They were known.
+    /// The delta contains nothing newer.
     Stale,
-    /// Changes before them are missing.
+    /// Changes between the mirrored version and the delta are missing.
     Gap,
-    /// They were taken in.
+    /// The delta was applied.
     Applied(Vec<Update>),
 }
 
-/// What this process knows of the tables.
+/// The mirrored tables of the store.
 #[derive(Clone, Debug)]
 pub struct Mirror {
     tables: BTreeMap<Table, Replica>,
     watermark: Watermark,
-    /// The upstreams that may get requests, and which start of each that is.
-    listed: BTreeMap<String, Start>,
-    /// The latest start of each upstream that tells it, also of those that left.
-    born: BTreeMap<String, Incarnation>,
-    missing: BTreeMap<String, Time>,
-    /// The orders to move to a release that were seen last, by key.
-    orders: BTreeMap<String, Written>,
-    /// Up to when it was looked at what holds no longer.
-    ticked: Time,
-    /// How far this process's clock is ahead of the store's, in microseconds.
-    ahead: Option<i64>,
-    troubles: Vec<Malformed>,
-    held: Vec<Suspects>,
+    /// The upstreams that may get requests, by key, with the incarnation and address that are
+    /// in use.
+    listed: BTreeMap<String, Identity>,
+    /// The latest incarnation of each upstream that reports one, including upstreams that have
+    /// left.
+    incarnations: BTreeMap<String, Incarnation>,
+    grace_ends: BTreeMap<String, Time>,
+    /// The latest roll-out order under each key.
+    orders: BTreeMap<String, OrderRow>,
+    /// The time up to which retained rows have been expired.
+    expired_until: Time,
+    /// How far this process's clock is ahead of the store's clock, in microseconds.
+    clock_offset: Option<i64>,
+    malformed: Vec<Malformed>,
+    suspects: Vec<Suspects>,
     ignored: Vec<Ignored>,
     replaced: Vec<Replaced>,
     eras: Tracker,
-    /// The era before the store came back from a copy, until that is told of.
-    restored: Option<Era>,
-    /// Whether it ever did in this life.
+    /// The era before the store was restored from a backup, until it is taken.
+    era_before_restore: Option<Era>,
+    /// Whether the store was restored from a backup during the lifetime of this process.
     was_restored: bool,
 }
 
@@ -148,93 +146,93 @@
             tables: BTreeMap::new(),
             watermark: Watermark::new(Table::ALL.len()),
             listed: BTreeMap::new(),
-            born: BTreeMap::new(),
-            missing: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
+            grace_ends: BTreeMap::new(),
             orders: BTreeMap::new(),
-            ticked: Time::default(),
-            ahead: None,
-            troubles: Vec::new(),
-            held: Vec::new(),
+            expired_until: Time::default(),
+            clock_offset: None,
+            malformed: Vec::new(),
+            suspects: Vec::new(),
             ignored: Vec::new(),
             replaced: Vec::new(),
             eras: Tracker::default(),
-            restored: None,
+            era_before_restore: None,
             was_restored: false,
         }
     }
 }
 
 impl Mirror {
-    /// Returns the version up to which a table is known, in whichever era.
+    /// Returns the version up to which a table is mirrored, in any era.
     pub fn version(&self, table: Table) -> u64 {
         self.stamp(table).version
     }
 
-    /// Returns up to which version of which era a table is known.
+    /// Returns the version and era up to which a table is mirrored.
     pub fn stamp(&self, table: Table) -> Stamp {
         self.tables
             .get(&table)
             .map_or_else(Stamp::default, |t| t.stamp)
     }
 
-    /// Returns the version after which changes of a table can be asked for, or `None` where the
-    /// table must be read whole, since it is not known in the era of the store.
+    /// Returns the version after which changes of a table can be requested, or `None` if the
+    /// table must be read as a whole because it is not mirrored in the store's current era.
     pub fn base(&self, table: Table) -> Option<u64> {
         let stamp = self.stamp(table);
         let is_known = stamp.version > 0 && stamp.era == self.era();
         is_known.then_some(stamp.version)
     }
 
-    /// Returns up to which versions all tables are known in the era of the store.
-    pub fn have(&self) -> Cursor {
+    /// Returns the versions up to which all tables are mirrored in the store's current era.
+    pub fn cursor(&self) -> Cursor {
         Cursor {
             versions: Table::ALL.map(|table| self.base(table).unwrap_or(0)),
             era: self.era(),
         }
     }
 
-    /// Returns whether anything is known of what the operator wants.
+    /// Returns whether the operator table has been received.
     pub fn has_operator_table(&self) -> bool {
         self.version(Table::Operator) > 0
     }
 
-    /// Returns the version of a row in the store, or 0 if there is none.
+    /// Returns the version of a row in the store, or 0 if the store has no such row.
     pub fn row_version(&self, table: Table, key: &str) -> u64 {
         let replica = self.tables.get(&table);
         replica.map_or(0, |t| t.stored_version(key))
     }
 
-    /// Returns a row as it holds.
+    /// Returns the valid state of a row.
     pub fn row(&self, table: Table, key: &str) -> Option<&Row> {
         self.tables.get(&table)?.row(key)
     }
 
-    /// Returns the rows of a table as they hold.
+    /// Returns the valid rows of a table.
     pub fn rows(&self, table: Table) -> impl Iterator<Item = &Row> {
         let replica = self.tables.get(&table);
         replica.into_iter().flat_map(Replica::rows)
     }
 
-    /// Returns the rows of a table in the store.
+    /// Returns the rows of a table as the store holds them.
     pub fn stored_rows(&self, table: Table) -> impl Iterator<Item = &Row> {
         let replica = self.tables.get(&table);
         replica.into_iter().flat_map(Replica::stored)
     }
 
-    /// Returns what holds of a table though the store has lost it.
-    pub fn kept(&self, table: Table) -> impl Iterator<Item = &Kept> {
+    /// Returns the rows of a table that remain valid although the store lost them.
+    pub fn retained(&self, table: Table) -> impl Iterator<Item = &Retained> {
         let replica = self.tables.get(&table);
-        replica.into_iter().flat_map(Replica::kept)
+        replica.into_iter().flat_map(Replica::retained)
     }
 
-    /// Returns what could not be understood since the last call.
+    /// Returns the rows that could not be decoded since the last call.
     pub fn take_malformed(&mut self) -> Vec<Malformed> {
-        std::mem::take(&mut self.troubles)
+        std::mem::take(&mut self.malformed)
     }
 
-    /// Returns which upstreams are held though their rows vanished, since the last call.
+    /// Returns the upstreams that were retained after their rows vanished, since the last call.
     pub fn take_suspects(&mut self) -> Vec<Suspects> {
-        std::mem::take(&mut self.held)
+        std::mem::take(&mut self.suspects)
     }
 
     /// Returns the pages that were ignored since the last call.
@@ -242,24 +240,25 @@
         std::mem::take(&mut self.ignored)
     }
 
-    /// Returns the tables that were read whole after the store came back from a copy, since the
+    /// Returns the tables that were read as a whole after a restore of the store, since the
     /// last call.
     pub fn take_replaced(&mut self) -> Vec<Replaced> {
         std::mem::take(&mut self.replaced)
     }
 
-    /// Returns the era before the store came back from a copy, if it did since the last call.
+    /// Returns the era before the store was restored from a backup, if that was detected since
+    /// the last call.
     pub fn take_restored(&mut self) -> Option<Era> {
-        self.restored.take()
+        self.era_before_restore.take()
     }
 
-    /// Returns the era of the store that is known.
+    /// Returns the store's current era, as far as this entry knows it.
     pub fn era(&self) -> Era {
         self.eras.current()
     }
 
-    /// Takes in of which era a page is that the store gave in answer to a call begun at `asked`. After
-    /// a [restore](Freshness::Restored) nothing but whole tables may be [applied](Mirror::apply).
+    /// Checks the era of a page that the store sent in answer to a call begun at `asked`. After
+    /// a [restore](Heard::Restored) only whole tables may be [applied](Mirror::apply).
     pub fn observe_era(
         &mut self,
         table: Table,
@@ -268,41 +267,42 @@
         asked: Time,
         now: Time,
     ) -> Freshness {
-        let fell = whole && self.base(table).is_some_and(|known| page.version < known);
-        let heard = self.eras.observe(page.era, fell, asked, now);
-        self.note_era(heard);
-        heard
+        let is_lower = whole && self.base(table).is_some_and(|known| page.version < known);
+        let freshness = self.eras.observe(page.era, is_lower, asked, now);
+        self.record_era(freshness);
+        freshness
     }
 
-    /// Takes in the era of what another entry tells of a table; returns whether it is later than what
-    /// is known of that.
-    fn is_news(&mut self, table: Table, told: Stamp, now: Time) -> bool {
-        let heard = self.eras.observe_peer(told.era, now);
-        self.note_era(heard);
-        heard != Freshness::Stale && told > self.stamp(table)
+    /// Checks the era of a table from another entry; returns whether that table is newer than
+    /// the mirrored one.
+    fn is_newer(&mut self, table: Table, stamp: Stamp, now: Time) -> bool {
+        let freshness = self.eras.observe_peer(stamp.era, now);
+        self.record_era(freshness);
+        freshness != Freshness::Stale && stamp > self.stamp(table)
     }
 
-    fn note_era(&mut self, heard: Freshness) {
-        if let Freshness::Restored { before } = heard {
-            self.restored.get_or_insert(before);
+    fn record_era(&mut self, freshness: Freshness) {
+        if let Freshness::Restored { before } = freshness {
+            self.era_before_restore.get_or_insert(before);
             self.was_restored = true;
             self.watermark = Watermark::new(Table::ALL.len());
         }
     }
 
-    /// Returns the time on the store's clock, if one was heard.
+    /// Returns the time on the store's clock, if the clock offset is known.
     pub fn store_time(&self, now: Time) -> Option<u64> {
-        let ahead = self.ahead?;
-        Some((now.0 as i64 - ahead).max(0) as u64)
+        let clock_offset = self.clock_offset?;
+        Some((now.0 as i64 - clock_offset).max(0) as u64)
     }
 
-    /// Returns a time on the store's clock as one on this process's clock, if one was heard.
+    /// Converts a time on the store's clock to this process's clock, if the clock offset is
+    /// known.
     pub fn local_time(&self, micros: u64) -> Option<Time> {
-        let ahead = self.ahead?;
-        Some(Time((micros as i64 + ahead).max(0) as u64))
+        let clock_offset = self.clock_offset?;
+        Some(Time((micros as i64 + clock_offset).max(0) as u64))
     }
 
-    /// Notes that a table could not be read.
+    /// Marks a table as unreadable until the next page of it is applied.
     pub fn mark_failing(&mut self, table: Table) {
         self.tables.entry(table).or_default().failing = true;
     }
@@ -312,7 +312,8 @@
         self.tables.get(&table).is_some_and(|t| t.failing)
     }
 
-    /// Takes in a page of the store; `whole` says that rows which are not in it are gone.
+    /// Applies a page from the store. If `whole` is set, rows that are not in the page are
+    /// removed.
     pub fn apply(&mut self, table: Table, page: Page, whole: bool, now: Time) -> Vec<Update> {
         if !page.now.is_zero() {
             self.note_clock(page.now.as_micros() as u64, now);
@@ -320,9 +321,9 @@
         self.tables.entry(table).or_default().failing = false;
         let version = page.version;
         let known = self.stamp(table);
-        let is_same_era = known.era == self.era();
-        let is_older = is_same_era && version < known.version;
-        if is_older || !(whole || is_same_era) {
+        let is_current_era = known.era == self.era();
+        let is_older = is_current_era && version < known.version;
+        if is_older || !(whole || is_current_era) {
             self.ignored.push(Ignored {
                 table,
                 version,
@@ -331,97 +332,97 @@
             });
             return Vec::new();
         }
-        let news = self.put(table, page, whole, Vec::new(), now);
+        let updates = self.apply_current(table, page, whole, Vec::new(), now);
         self.watermark.observe(version, now);
-        news
+        updates
     }
 
-    /// Takes in a page of the era that is known, which is not older than what is known.
-    fn put(
+    /// Applies a page of the current era that is not older than the mirrored version.
+    fn apply_current(
         &mut self,
         table: Table,
         page: Page,
         whole: bool,
-        kept: Vec<Kept>,
+        retained: Vec<Retained>,
         now: Time,
     ) -> Vec<Update> {
         let era = self.era();
-        let copy = self.tables.entry(table).or_default();
-        let before = copy.stamp;
+        let replica = self.tables.entry(table).or_default();
+        let before = replica.stamp;
         let changes = page.rows.iter().map(|row| row.version);
         self.watermark
             .advance(table as usize, page.version, changes);
-        let fate = |case: &Conflict<'_>| reconcile::fate(table, case);
-        let mut changed = copy.apply(page, era, whole, fate);
-        changed.extend(copy.merge_kept(kept));
+        let resolve = |conflict: &Conflict<'_>| reconcile::resolve(table, conflict);
+        let mut changed = replica.apply(page, era, whole, resolve);
+        changed.extend(replica.merge_retained(retained));
         if before.era != era {
-            self.ticked = self.ticked.max(now);
+            self.expired_until = self.expired_until.max(now);
         }
         if before.era != era && before.version > 0 {
-            let kept = copy.kept().map(|kept| kept.row.key.clone());
+            let retained = replica.retained().map(|retained| retained.row.key.clone());
             self.replaced.push(Replaced {
                 table,
                 before,
-                now: copy.stamp,
-                kept: kept.collect(),
+                after: replica.stamp,
+                retained: retained.collect(),
             });
         }
-        self.news(table, &changed, now)
+        self.updates(table, &changed, now)
     }
 
-    /// Returns what it means that rows changed.
-    fn news(&mut self, table: Table, changed: &[String], now: Time) -> Vec<Update> {
+    /// Returns the updates that follow from changed rows.
+    fn updates(&mut self, table: Table, changed: &[String], now: Time) -> Vec<Update> {
         match table {
-            Table::Operator | Table::Progress => self.operator_news(table, changed),
-            Table::Own => self.own_news(changed),
+            Table::Operator | Table::Progress => self.operator_updates(table, changed),
+            Table::Own => self.own_updates(changed),
             Table::Duties => Vec::new(),
-            Table::Upstreams => self.upstream_news(changed, now),
+            Table::Upstreams => self.upstream_updates(changed, now),
         }
     }
 
-    /// Takes in a page from another entry, which may know less or more.
+    /// Applies a copy of a table from another entry if it is newer than the mirrored one.
     pub fn apply_copy(
         &mut self,
         table: Table,
         page: Page,
-        kept: Vec<Kept>,
+        retained: Vec<Retained>,
         now: Time,
     ) -> Vec<Update> {
         let stamp = Stamp::new(page.era.unwrap_or_default(), page.version);
-        if !self.is_news(table, stamp, now) {
+        if !self.is_newer(table, stamp, now) {
             return Vec::new();
         }
-        self.put(table, page, true, kept, now)
+        self.apply_current(table, page, true, retained, now)
     }
 
-    /// Returns the tables that must be asked anew, since the store named a version that long
-    /// ago whose change was told of by no table.
-    pub fn behind(&self, now: Time, patience: Span) -> Vec<Table> {
-        let behind = self.watermark.lagging(now, patience).into_iter();
+    /// Returns the tables that must be read again: the store announced a version at least
+    /// `min_age` ago, and no table contained that change since.
+    pub fn behind(&self, now: Time, min_age: Span) -> Vec<Table> {
+        let behind = self.watermark.lagging(now, min_age).into_iter();
         behind.filter_map(|n| Table::ALL.get(n).copied()).collect()
     }
 
-    /// Returns what changed in a table after a version, to be handed on, or `None` where
-    /// that version is the newest known.
+    /// Returns the changes of a table after a version, for other entries, or `None` if nothing
+    /// newer is mirrored.
     pub fn delta(&mut self, table: Table, have: Stamp) -> Option<TableDelta> {
-        let copy = self.tables.get_mut(&table).filter(|t| t.stamp > have)?;
-        let have = match have.era == copy.stamp.era {
+        let replica = self.tables.get_mut(&table).filter(|t| t.stamp > have)?;
+        let have = match have.era == replica.stamp.era {
             true => have.version,
             false => 0,
         };
-        let Delta { since, rows } = copy.delta(have);
+        let Delta { since, rows } = replica.delta(have);
         let (rows, packed) = match rows {
             Rows::Plain(rows) => (rows, None),
             Rows::Packed(bytes) => (Vec::new(), Some(bytes)),
         };
-        let kept = copy.kept().filter(|_| since.is_none());
-        let kept = kept.map(pack::kept_row).collect();
+        let retained = replica.retained().filter(|_| since.is_none());
+        let retained = retained.map(pack::to_retained).collect();
         Some(TableDelta {
-            retained: kept,
+            retained,
             number: table as usize,
             since,
-            version: copy.stamp.version,
-            era: copy.stamp.era,
+            version: replica.stamp.version,
+            era: replica.stamp.era,
             rows,
             packed,
         })
@@ -429,17 +430,17 @@
 
     /// Returns whether rows of a table changed after a version.
     pub fn has_changed(&self, table: Table, have: Stamp) -> bool {
-        let copy = self.tables.get(&table).filter(|t| t.stamp > have);
-        copy.is_some_and(|t| Stamp::new(t.stamp.era, t.newest) > have)
+        let replica = self.tables.get(&table).filter(|t| t.stamp > have);
+        replica.is_some_and(|t| Stamp::new(t.stamp.era, t.newest) > have)
     }
 
-    /// Takes in changes that another entry hands on.
+    /// Applies changes that another entry forwarded.
     pub fn apply_delta(&mut self, delta: TableDelta, now: Time) -> Merge {
         let Some(table) = Table::ALL.get(delta.number).copied() else {
             return Merge::Stale;
         };
         let stamp = Stamp::new(delta.era, delta.version);
-        if !self.is_news(table, stamp, now) {
+        if !self.is_newer(table, stamp, now) {
             return Merge::Stale;
         }
         let since = delta.since.map(|since| Stamp::new(stamp.era, since));
@@ -450,7 +451,7 @@
         let rows = match unpacked.unwrap_or(Ok(delta.rows)) {
             Ok(rows) => rows,
             Err(message) => {
-                self.troubles.push(Malformed {
+                self.malformed.push(Malformed {
                     table,
                     key: "a packed table".to_owned(),
                     message,
@@ -459,57 +460,63 @@
             }
         };
         let page = Page {
-            rows: rows.into_iter().map(pack::row).collect(),
+            rows: rows.into_iter().map(pack::from_tuple).collect(),
             version: delta.version,
             now: Duration::ZERO,
             era: Some(stamp.era),
         };
         let whole = delta.since.is_none();
-        let kept = delta.retained.into_iter().map(pack::kept);
-        Merge::Applied(self.put(table, page, whole, kept.collect(), now))
+        let retained = delta.retained.into_iter().map(pack::from_retained);
+        Merge::Applied(self.apply_current(table, page, whole, retained.collect(), now))
     }
 
-    /// Takes in the time on the store's clock as another entry tells it.
+    /// Updates the clock offset from a time on the store's clock.
     pub fn note_clock(&mut self, micros: u64, now: Time) {
-        let ahead = now.0 as i64 - micros as i64;
-        // The quickest answer tells the clock best.
-        self.ahead = Some(self.ahead.map_or(ahead, |known| known.min(ahead)));
+        let clock_offset = now.0 as i64 - micros as i64;
+        // The answer with the lowest latency gives the most accurate offset.
+        self.clock_offset = Some(
+            self.clock_offset
+                .map_or(clock_offset, |known| known.min(clock_offset)),
+        );
     }
 
-    /// Returns what it means that rows have not come back in time.
+    /// Returns the updates that follow from the passing of time: retained upstreams whose grace
+    /// period has ended and retained rows that have expired.
     ///
-    /// `heard` is when the store was heard last, by whatever way: what holds for a while though
-    /// the store has lost it holds while nobody can write it again.
-    pub fn tick(&mut self, now: Time, heard: Option<Time>) -> Vec<Update> {
-        let due = self.missing.iter().filter(|(_, at)| now >= **at);
+    /// `last_sync` is the time of the last sync with the store, directly or through other
+    /// entries. Retained rows expire only during contact, because nobody can write them again
+    /// while the store is unreachable.
+    pub fn tick(&mut self, now: Time, last_sync: Option<Time>) -> Vec<Update> {
+        let due = self.grace_ends.iter().filter(|(_, at)| now >= **at);
         let due: Vec<String> = due.map(|(id, _)| id.clone()).collect();
-        let mut news: Vec<Update> = due.iter().filter_map(|id| self.retire(id)).collect();
-        let is_heard = heard.is_some_and(|at| now.since(at) <= HEARD);
-        let passed = match is_heard {
-            true => now.since(self.ticked),
+        let mut updates: Vec<Update> = due.iter().filter_map(|id| self.retire(id)).collect();
+        let in_contact = last_sync.is_some_and(|at| now.since(at) <= CONTACT_TIMEOUT);
+        let passed = match in_contact {
+            true => now.since(self.expired_until),
             false => Span::default(),
         };
-        self.ticked = self.ticked.max(now);
+        self.expired_until = self.expired_until.max(now);
         for table in Table::ALL {
-            let copy = self.tables.get_mut(&table);
-            let over = copy.map_or_else(Vec::new, |t| t.expire(passed));
+            let replica = self.tables.get_mut(&table);
+            let expired = replica.map_or_else(Vec::new, |t| t.expire(passed));
             if table == Table::Upstreams {
-                // They had their time, however many there are.
-                let gone = over.iter().filter(|id| self.row(table, id).is_none());
+                // These upstreams have already had their grace period, so they are retired
+                // however many there are.
+                let gone = expired.iter().filter(|id| self.row(table, id).is_none());
                 let gone: Vec<String> = gone.cloned().collect();
-                news.extend(gone.iter().filter_map(|id| self.retire(id)));
+                updates.extend(gone.iter().filter_map(|id| self.retire(id)));
             }
-            news.extend(self.news(table, &over, now));
+            updates.extend(self.updates(table, &expired, now));
         }
-        news
+        updates
     }
 
-    fn understand<T>(&mut self, table: Table, key: &str, read: sorreldeck::Result<T>) -> Option<T> {
+    fn decoded<T>(&mut self, table: Table, key: &str, read: sorreldeck::Result<T>) -> Option<T> {
         let message = match read {
             Ok(value) => return Some(value),
             Err(e) => e.to_string(),
         };
-        self.troubles.push(Malformed {
+        self.malformed.push(Malformed {
             table,
             key: key.to_owned(),
             message,
@@ -517,67 +524,67 @@
         None
     }
 
-    fn operator_news(&mut self, table: Table, changed: &[String]) -> Vec<Update> {
-        let mut news = Vec::new();
+    fn operator_updates(&mut self, table: Table, changed: &[String]) -> Vec<Update> {
+        let mut updates = Vec::new();
         for key in changed {
             if table == Table::Operator && key == CONFIG {
                 let row = self.row(table, key).and_then(|row| row.value.clone());
                 let read = row.map(|buf| config::decode(&buf));
-                let config = read.and_then(|read| self.understand(table, key, read));
-                news.extend(config.map(|c| Update::Config(Box::new(c))));
+                let config = read.and_then(|read| self.decoded(table, key, read));
+                updates.extend(config.map(|c| Update::Config(Box::new(c))));
             }
             if key.starts_with(MOVE) {
-                news.extend(self.move_news(key));
+                updates.extend(self.roll_out_update(key));
             }
         }
         let orders = |key: &String| table == Table::Operator && hall::of_key(key).is_some();
         if changed.iter().any(orders) {
-            news.push(Update::Evacuated(self.evacuated()));
+            updates.push(Update::Evacuated(self.evacuated()));
         }
-        news
+        updates
     }
 
-    /// Returns the data halls that are to be empty.
+    /// Returns the data halls that are to be evacuated.
     fn evacuated(&mut self) -> BTreeSet<Hall> {
         let keys = self.rows(Table::Operator).map(|row| row.key.clone());
         let orders = keys.filter_map(|key| hall::of_key(&key).map(|hall| (key, hall)));
         let orders: Vec<_> = orders.collect();
         let halls = orders
             .into_iter()
-            .filter_map(|(key, hall)| self.understand(Table::Operator, &key, hall));
+            .filter_map(|(key, hall)| self.decoded(Table::Operator, &key, hall));
         halls.collect()
     }
 
-    fn own_news(&mut self, changed: &[String]) -> Vec<Update> {
-        let mut news = Vec::new();
+    fn own_updates(&mut self, changed: &[String]) -> Vec<Update> {
+        let mut updates = Vec::new();
         for key in changed {
             if key.starts_with(MOVE) {
-                news.extend(self.move_news(key));
+                updates.extend(self.roll_out_update(key));
             }
-            news.extend(self.entry_news(key));
-            news.extend(self.held_news(key));
+            updates.extend(self.entry_update(key));
+            updates.extend(self.quarantine_update(key));
         }
-        news
+        updates
     }
 
-    fn entry_news(&mut self, key: &str) -> Option<Update> {
+    fn entry_update(&mut self, key: &str) -> Option<Update> {
         key.strip_prefix(ENTRY_PREFIX)?;
         let value = self.row(Table::Own, key)?.value.clone()?;
         let read = serde_json::from_slice(&value).map_err(|e| {
-            let message = format!("an entry: {e}");
+            let message = format!("invalid address row of an entry: {e}");
             sorreldeck::Error::new(sorreldeck::Category::Invalid, message)
         });
-        self.understand(Table::Own, key, read).map(Update::Entry)
+        self.decoded(Table::Own, key, read).map(Update::Entry)
     }
 
-    fn held_news(&mut self, key: &str) -> Option<Update> {
+    fn quarantine_update(&mut self, key: &str) -> Option<Update> {
         let fingerprint = key.strip_prefix(holds::HELD_PREFIX)?.parse();
-        let fingerprint = self.understand(Table::Own, key, fingerprint)?;
+        let fingerprint = self.decoded(Table::Own, key, fingerprint)?;
         let row = self.row(Table::Own, key);
         let Some(value) = row.and_then(|row| row.value.clone()) else {
             return Some(Update::Quarantine(fingerprint, None));
         };
-        let record = self.understand(Table::Own, key, holds::decode(&value))?;
+        let record = self.decoded(Table::Own, key, holds::decode(&value))?;
         Some(Update::Quarantine(fingerprint, Some(record)))
     }
 }
--- a/crates/daemon/src/hosted/mod.rs
+++ b/crates/daemon/src/hosted/mod.rs
@@ -137,7 +137,7 @@
         task::spawn(http::serve(metrics, web::metrics(shared.clone())));
     }
     let (events, happened) = async_channel::unbounded();
-    task::spawn(peer::pass_on(happened, shared.clone()));
+    task::spawn(peer::forward_events(happened, shared.clone()));
     let mut links_at = None;
     if let Some(links) = settings.links {
         let links = TcpListener::bind(links).await?;
--- a/crates/daemon/src/hosted/mover.rs
+++ b/crates/daemon/src/hosted/mover.rs
@@ -23,8 +23,9 @@
 /// How long an entry waits after it has written, for the feed to bring it.
 const AGAIN: Span = Span::from_millis(700);
 
-/// How much longer an entry waits before it begins a move whose release a record names: the order may
-/// have been written again after a loss, and whoever knows that writes the record again.
+/// How much longer an entry waits before it begins a move whose release a record names: the
+/// order may have been written again after a loss, and whoever knows that writes the record
+/// again.
 const RECORDED: Span = Span::from_millis(1_000);
 
 /// Writes the records of moves.
--- a/crates/daemon/src/hosted/peer.rs
+++ b/crates/daemon/src/hosted/peer.rs
@@ -1,15 +1,14 @@
-//! Asks other hosted entries for what they know of the store while it is out of
-//! reach from here, and answers when they ask.
+//! Connections to other hosted entries.
 //!
-//! An entry that reads the store and cannot reach it opens a link to another one, tells
-//! the versions it has and gets the tables that are newer there. The links over which
-//! tables go from entry to entry at all times are opened and taken here as well; what is
-//! said over them is [`relay`](super::relay)'s.
+//! An entry that cannot reach the store connects to another entry, sends the versions it has
+//! and gets the tables that are newer there; this module also answers such requests. It opens
+//! and accepts the long-lived replication links as well, whose messages are handled by
+//! [`relay`](super::relay).
 
 use super::event_loop::Message;
 use super::mirror::Mirror;
 use super::pack;
-use super::replica::Kept;
+use super::replica::Retained;
 use super::shared::Shared;
 use crate::clock;
 use async_channel::{Receiver, Sender};
@@ -30,85 +29,85 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an entry that is asked may take.
+/// Timeout of a request for tables to another entry.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
-/// The links that may be open at a time, beyond which new ones are turned away: at 360
-/// entries in 5 data halls a reader has some 72 of its own and 8 of others.
-const LINKS: usize = 256;
-/// How long the opening of a link to a source may take: two round trips within a data
-/// hall or to the next, on an instance of 0.09 cores.
+/// Maximum number of open links; further ones are refused. With 360 entries in 5 data halls, an
+/// entry that reads the store has about 72 links from its own data hall and 8 from others.
+const MAX_LINKS: usize = 256;
+/// Timeout for opening a link to a source: two round trips within a data hall or to the next
+/// one, on an instance with 0.09 cores.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Where the numbers of links begin that this entry opens; below are those it takes.
-const OPENED: Link = 1 << 32;
-/// How many other entries are asked at a time; one of them may be cut off too.
-const AT_ONCE: usize = 2;
+/// First number of the links that this entry opens; accepted links have lower numbers.
+const FIRST_OPENED: Link = 1 << 32;
+/// The number of entries that are asked at a time; one of them may be unreachable too.
+const CONCURRENT_REQUESTS: usize = 2;
 
-/// A table as another entry knows it.
+/// A copy of a table from another entry.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Which table.
     pub table: Table,
     version: u64,
     era: Era,
     rows: Vec<Row>,
-    kept: Vec<RetainedRow>,
+    retained: Vec<RetainedRow>,
 }
 
 impl Snapshot {
-    /// Returns the copy as a page of the store, and what holds though the store has lost it.
-    pub fn page(self) -> (Page, Vec<Kept>) {
+    /// Returns the copy as a page of the store, and the rows that remain valid although the
+    /// store lost them.
+    pub fn page(self) -> (Page, Vec<Retained>) {
         let page = Page {
             rows: self.rows,
             version: self.version,
             now: Duration::ZERO,
             era: Some(self.era),
         };
-        let kept = self.kept.into_iter().map(pack::kept);
-        (page, kept.collect())
+        let retained = self.retained.into_iter().map(pack::from_retained);
+        (page, retained.collect())
     }
 }
 
 /// The links to other entries.
 pub struct Peering {
     keys: Keys,
-    own: Option<SocketAddr>,
-    known: BTreeMap<InstanceId, SocketAddr>,
+    own_address: Option<SocketAddr>,
+    addresses: BTreeMap<InstanceId, SocketAddr>,
     seeds: Vec<SocketAddr>,
-    turn: usize,
+    next_peer: usize,
     links: HashMap<Link, Outbox>,
-    next: Link,
+    next_link: Link,
     events: Sender<Event>,
 }
 
 impl Peering {
-    /// Creates the links of an entry; none is open.
+    /// Creates the set of links of an entry; none is open.
     pub fn new(keys: Keys, settings: &Settings, events: Sender<Event>) -> Peering {
         Peering {
             keys,
-            own: settings.links,
-            known: BTreeMap::new(),
+            own_address: settings.links,
+            addresses: BTreeMap::new(),
             seeds: settings.seeds.clone(),
-            turn: usize::from(clock::random::<1>()[0]),
+            next_peer: usize::from(clock::random::<1>()[0]),
             links: HashMap::new(),
-            next: OPENED,
+            next_link: FIRST_OPENED,
             events,
         }
     }
 
-    /// Returns how many links are open.
+    /// Returns the number of open links.
     pub fn links(&self) -> usize {
         self.links.len()
     }
 
-    /// Notes where another entry is.
-    pub fn learn(&mut self, name: InstanceId, address: SocketAddr) {
-        self.known.insert(name, address);
+    /// Records the address of another entry.
+    pub fn add_peer(&mut self, name: InstanceId, address: SocketAddr) {
+        self.addresses.insert(name, address);
     }
 
-    /// Opens a link to an entry; the loop is told what came of it.
+    /// Opens a link to an entry; the event loop gets the outcome as a [`Message`].
     pub fn open(&mut self, name: InstanceId, address: SocketAddr, shared: &Shared) {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_link;
+        self.next_link += 1;
         let (keys, shared, events) = (self.keys.clone(), shared.clone(), self.events.clone());
         task::spawn(async move {
             let opening = link::connect(address, &keys, shared.incarnation, clock::random());
@@ -117,7 +116,7 @@
                 Err(_) => Err("no answer".to_owned()),
             };
             let outbox = open.map(|open| open.run(number, events, Arc::default()));
-            // The loop ends only with the process.
+            // Sending fails only while the process ends, since the event loop runs until then.
             let _ = shared
                 .send
                 .send(Message::LinkOpened(name, number, outbox))
@@ -132,27 +131,28 @@
         }
     }
 
-    /// Closes a link.
     pub fn close(&mut self, link: Link) {
         if let Some(outbox) = self.links.remove(&link) {
             outbox.close();
         }
     }
 
-    /// Asks other entries, each time others in turn.
-    pub fn ask(&mut self, mirror: &Mirror, shared: &Shared) {
-        let known = self.known.values().chain(&self.seeds).copied();
-        let mut others: Vec<SocketAddr> = known.filter(|a| Some(*a) != self.own).collect();
+    /// Asks other entries for newer tables, rotating through them from call to call.
+    pub fn request_tables(&mut self, mirror: &Mirror, shared: &Shared) {
+        let addresses = self.addresses.values().chain(&self.seeds).copied();
+        let mut others: Vec<SocketAddr> =
+            addresses.filter(|a| Some(*a) != self.own_address).collect();
         others.sort_unstable();
         others.dedup();
-        let have = mirror.have();
-        for _ in 0..AT_ONCE.min(others.len()) {
-            self.turn = self.turn.wrapping_add(1);
-            let address = others[self.turn % others.len()];
-            let (keys, shared, have) = (self.keys.clone(), shared.clone(), have.clone());
+        let cursor = mirror.cursor();
+        for _ in 0..CONCURRENT_REQUESTS.min(others.len()) {
+            self.next_peer = self.next_peer.wrapping_add(1);
+            let address = others[self.next_peer % others.len()];
+            let (keys, shared, cursor) = (self.keys.clone(), shared.clone(), cursor.clone());
             task::spawn(async move {
-                match timeout(ANSWER_TIMEOUT, fetch(address, &keys, &shared, have)).await {
-                    // The loop ends only with the process.
+                match timeout(ANSWER_TIMEOUT, fetch(address, &keys, &shared, cursor)).await {
+                    // Sending fails only while the process ends, since the event loop runs
+                    // until then.
                     Ok(Ok(copies)) => drop(shared.send.send(Message::Snapshots(copies)).await),
                     Ok(Err(e)) => warn!("event=entry-not-asked address={address} error={e:?}"),
                     Err(_) => warn!("event=entry-not-asked address={address} error=\"no answer\""),
@@ -161,29 +161,29 @@
         }
     }
 
-    /// Keeps a link that another entry opened.
+    /// Adds an open link, or closes it if the maximum number of links is reached.
     pub fn add(&mut self, link: Link, outbox: Outbox) {
-        if self.links.len() >= LINKS {
+        if self.links.len() >= MAX_LINKS {
             return outbox.close();
         }
         self.links.insert(link, outbox);
     }
 
-    /// Answers an entry that asks for tables once.
-    pub fn answer(&self, link: Link, have: &Cursor, mirror: &Mirror) {
-        let copies = newer(mirror, have);
+    /// Answers an entry's request for tables.
+    pub fn answer(&self, link: Link, cursor: &Cursor, mirror: &Mirror) {
+        let copies = newer(mirror, cursor);
         info!("event=asked-by-entry link={link} tables={}", copies.len());
         self.send(link, Frame::Tables(copies));
     }
 }
 
-/// Returns the tables that are newer here than at whoever asks.
-fn newer(mirror: &Mirror, have: &Cursor) -> Vec<TableCopy> {
+/// Returns the tables that are newer here than at the entry that asks.
+fn newer(mirror: &Mirror, cursor: &Cursor) -> Vec<TableCopy> {
     let mut copies = Vec::new();
     for (number, table) in Table::ALL.iter().enumerate() {
-        let theirs = Stamp::new(have.era, have.versions[number]);
+        let remote = Stamp::new(cursor.era, cursor.versions[number]);
         let own = mirror.stamp(*table);
-        if own <= theirs {
+        if own <= remote {
             continue;
         }
         let row = |row: &Row| {
@@ -195,7 +195,7 @@
             version: own.version,
             era: own.era,
             rows: mirror.stored_rows(*table).filter_map(row).collect(),
-            retained: mirror.kept(*table).map(pack::kept_row).collect(),
+            retained: mirror.retained(*table).map(pack::to_retained).collect(),
         });
     }
     copies
@@ -212,7 +212,7 @@
         version: copy.version,
         era: copy.era,
         rows: copy.rows.into_iter().map(row).collect(),
-        kept: copy.retained,
+        retained: copy.retained,
     })
 }
 
@@ -220,12 +220,12 @@
     address: SocketAddr,
     keys: &Keys,
     shared: &Shared,
-    have: Cursor,
+    cursor: Cursor,
 ) -> eyre::Result<Vec<Snapshot>> {
     let open = link::connect(address, keys, shared.incarnation, clock::random()).await?;
     let (send, events) = async_channel::unbounded();
     let outbox = open.run(0, send, Arc::default());
-    outbox.send(Frame::FetchTables(have));
+    outbox.send(Frame::FetchTables(cursor));
     while let Ok(event) = events.recv().await {
         let Event::Frames(_, frames) = event else {
             break;
@@ -238,11 +238,11 @@
         }
     }
     outbox.close();
-    eyre::bail!("the link was closed")
+    eyre::bail!("the link was closed before the tables arrived")
 }
 
-/// Passes what happens on links on to the loop.
-pub async fn pass_on(events: Receiver<Event>, shared: Shared) {
+/// Forwards link events to the event loop.
+pub async fn forward_events(events: Receiver<Event>, shared: Shared) {
     while let Ok(event) = events.recv().await {
         if shared.send.send(Message::Link(event)).await.is_err() {
             return;
@@ -250,13 +250,13 @@
     }
 }
 
-/// Takes links from other entries.
+/// Accepts links from other entries.
 pub async fn listen(listener: TcpListener, keys: Keys, events: Sender<Event>, shared: Shared) {
-    let numbers = AtomicU64::new(1);
+    let next_number = AtomicU64::new(1);
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let number = numbers.fetch_add(1, Ordering::Relaxed);
+                let number = next_number.fetch_add(1, Ordering::Relaxed);
                 task::spawn(accept(
                     stream,
                     keys.clone(),
@@ -265,7 +265,7 @@
                     shared.clone(),
                 ));
             }
-            // Out of descriptors, say: the open connections will free some.
+            // For example, no file descriptors are left; connections that close will free some.
             Err(e) => {
                 warn!("event=accept-failed at=links error={e}");
                 task::sleep(Duration::from_millis(50)).await;
@@ -284,7 +284,7 @@
     match link::accept(stream, &keys, clock::random()).await {
         Ok(open) => {
             let outbox = open.run(number, events, Arc::default());
-            // The loop ends only with the process.
+            // Sending fails only while the process ends, since the event loop runs until then.
             let _ = shared
                 .send
                 .send(Message::LinkAccepted(number, outbox))
--- a/crates/daemon/src/hosted/reconcile.rs
+++ b/crates/daemon/src/hosted/reconcile.rs
@@ -1,20 +1,20 @@
-//! What each table's rows tell of, for the decision what holds of them after the store came back
-//! from a copy.
+//! Rules per table for which state of a row is valid after the store was restored from a
+//! backup.
 
 use super::replica::Conflict;
 use sorreldeck::era::{Kind, Local, Resolution};
 use sorreldeck_platform::store::{Row, CONFIG};
 use sorreldeck_platform::{config, member, Table};
 
-/// Decides whether what was known of a row holds.
-pub fn fate(table: Table, case: &Conflict) -> Resolution {
-    let kind = kind(table, case.key);
-    let known = match (case.known, case.stored) {
+/// Decides whether the mirrored state of a row remains valid.
+pub fn resolve(table: Table, conflict: &Conflict) -> Resolution {
+    let kind = kind(table, conflict.key);
+    let local = match (conflict.mirrored, conflict.stored) {
         (None, _) => Local::Absent,
-        (Some(known), Some(stored)) if is_later(kind, known, stored) => Local::Newer,
+        (Some(local), Some(stored)) if is_later(kind, local, stored) => Local::Newer,
         (Some(_), _) => Local::Present,
     };
-    Resolution::of(kind, case.standing, known)
+    Resolution::of(kind, conflict.comparison, local)
 }
 
 fn kind(table: Table, key: &str) -> Kind {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns whether one state of a row is later than another by what both say.
+/// Returns whether one state of a row is later than another according to their contents.
 fn is_later(kind: Kind, row: &Row, other: &Row) -> bool {
     match kind {
         Kind::Configuration => revision(row) > revision(other),
@@ -35,13 +35,14 @@
     }
 }
 
-/// Returns the revision of a configuration, or `None` where it is not understood.
+/// Returns the revision of a configuration, or `None` if it cannot be decoded.
 fn revision(row: &Row) -> Option<sorreldeck::Revision> {
     let read = config::decode(row.value.as_deref()?).ok()?;
     Some(read.tree.revision())
 }
 
-/// Returns whether a row says that an upstream leaves and another that the same start of it stays.
+/// Returns whether one row says that an upstream leaves and another that the same incarnation
+/// of it stays.
 fn leaves(row: &Row, other: &Row) -> bool {
     let read = |row: &Row| member::decode(&row.key, row.value.as_deref()?).ok();
     let (Some(row), Some(other)) = (read(row), read(other)) else {
--- a/crates/daemon/src/hosted/relay.rs
+++ b/crates/daemon/src/hosted/relay.rs
@@ -1,12 +1,13 @@
-//! Hands the store's tables from entry to entry, with what entries found of moves, the long
-//! prompts that they sent, the sessions that stay at their release, the requests under which
-//! upstreams crashed and what upstreams said of themselves.
+//! Replication of the store's tables between entries. The same links carry release reports,
+//! prefill times of long prompts, session affinities, quarantine updates and notices of
+//! upstreams.
 //!
-//! [`sorreldeck::replication`] decides whom this entry has the tables from; here stand the
-//! messages to and from those, and to the entries that have the tables from here. There is
-//! no socket and no clock: frames go in, orders come out.
+//! [`sorreldeck::replication`] chooses the entries from which this one gets the tables, its
+//! sources. This module handles the messages to and from the sources and to the entries that
+//! get the tables from this one, its subscribers. It uses neither sockets nor a clock: frames
+//! go in, commands come out.
 
-use super::hints::{Hints, Stays};
+use super::hints::{Affinities, Hints};
 use super::mirror::{Merge, Mirror, Update};
 use super::reports::Reports;
 use super::usage::Usage;
@@ -23,23 +24,22 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How often an entry tells its sources that it is there; a link that is silent for 7 s is
-/// taken for broken.
-const KEEP: Span = Span::from_millis(2_000);
+/// Keep-alive interval towards sources; a link that is silent for 7 s is considered broken.
+const KEEP_ALIVE: Span = Span::from_millis(2_000);
 
-/// How long hints are gathered before they are told: three of these lie between two entries,
-/// and a message for each prompt would be 150 a second and link.
-const GATHER_HINTS: Span = Span::from_millis(40);
+/// How long hints are batched before they are sent. Up to three such delays add up on the way
+/// between two entries; one message per prompt would be 150 messages a second on each link.
+const HINT_BATCH_DELAY: Span = Span::from_millis(40);
 
-/// How long the first source of an entry that knows nothing may take, before the others are
-/// asked as well: a whole table of 3,000 rows takes 0.2 s on the smallest instances.
-const ASK_REST: Span = Span::from_millis(400);
+/// How long the first source of an entry without tables may take before the other sources are
+/// asked too. A whole table of 3,000 rows takes 0.2 s on the smallest instances.
+const FIRST_SOURCE_TIMEOUT: Span = Span::from_millis(400);
 
-/// How long a table that was asked anew is left alone: as long as a call may take, so that
-/// none which would be answered is broken off.
-const ASKED: Span = Span::from_millis(1_500);
+/// Minimum interval between two polls of the same table: the maximum duration of a call, so
+/// that no call that would still be answered is aborted.
+const MIN_POLL_INTERVAL: Span = Span::from_millis(1_500);
 
-/// What is to be done.
+/// A command for the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Open a link to an entry.
@@ -48,254 +48,256 @@
     Close(Link),
     /// Send a frame.
     Send(Link, Frame),
-    /// Read this much of the store; others may have its tables from here.
+    /// Read these tables of the store; other entries may get them from this one.
     Read(Subscription),
-    /// Break off the wait for a table and ask for it at once.
+    /// Abort the long poll of a table and read it at once.
     Poll(Table),
-    /// Take in what the entries of a data hall found.
+    /// Process a report of a data hall's entries on a release.
     Report(PoolId, Hall, Report),
-    /// Take in that an entry sent an upstream a prompt that takes this long to be read.
+    /// Process that an entry sent an upstream a prompt with this prefill time.
     Prefill(u64, Span),
-    /// Take in that an entry serves a session that stays at its release.
+    /// Process that an entry serves a session that is bound to its release by affinity.
     Affinity(Affinity),
-    /// Take in what an entry tells of requests under which upstreams crashed.
+    /// Process a quarantine update of an entry: requests during which upstreams crashed.
     Quarantine(quarantine::Update),
-    /// Take in what an upstream said of itself to another entry.
+    /// Process a notice of an upstream to another entry.
     Notice(notice::Update),
 }
 
-/// An entry that has the tables from here.
+/// An entry that gets the tables from this one.
 #[derive(Clone, Debug)]
-struct Taker {
+struct Subscriber {
     entry: InstanceId,
     hall: Hall,
-    /// The versions that were sent.
-    have: [Stamp; TABLE_COUNT],
-    sent: Time,
-    /// Up to which count of changes what was found has been sent.
-    found: u64,
+    /// The versions that were sent to it.
+    stamps: [Stamp; TABLE_COUNT],
+    last_sent: Time,
+    /// The change counter of the release reports up to which they were sent to it.
+    sent_reports: u64,
     /// Whether it reads the store itself.
     reads_store: bool,
-    /// What it is to be told.
+    /// The hints that are queued for it.
     hints: Hints,
 }
 
-/// An entry that this one has the tables from.
+/// An entry that this one gets the tables from.
 #[derive(Clone, Debug)]
 struct Source {
     name: InstanceId,
     /// When the link was opened.
-    since: Time,
+    opened_at: Time,
     /// Whether it was asked for the tables.
-    asked: bool,
-    sent: Time,
-    found: u64,
-    /// Whether it was told what was counted before it was linked.
-    counted: bool,
+    is_subscribed: bool,
+    last_sent: Time,
+    sent_reports: u64,
+    /// Whether it got the counts from before the link was opened.
+    has_counts: bool,
 }
 
-/// The links over which tables go from entry to entry.
+/// The replication links of an entry.
 #[derive(Clone, Debug)]
 pub struct Relay {
     follow: Planner,
     own: Peer,
     sources: BTreeMap<Link, Source>,
-    takers: BTreeMap<Link, Taker>,
-    found: Reports,
-    /// Whether the store did not answer this entry the last time.
-    failing: bool,
-    /// Which tables the store has answered for since it was away, or since they are read.
+    subscribers: BTreeMap<Link, Subscriber>,
+    reports: Reports,
+    /// Whether the last poll of the operator table failed.
+    operator_failing: bool,
+    /// The tables that the store has answered for since it was last unreachable, or since this
+    /// entry began to read it.
     answered: [bool; TABLE_COUNT],
-    /// When each table was asked for anew last, or began to be read.
-    asked: [Time; TABLE_COUNT],
-    /// When it has answered for the operator's.
-    operator: Time,
-    /// What this entry's sources are to be told.
+    /// When each table was last polled anew or its reading began.
+    polled_at: [Time; TABLE_COUNT],
+    /// When the store last answered for the operator table.
+    operator_answered: Time,
+    /// The hints that are queued for the sources.
     hints: Hints,
-    /// The sessions that stay at their release.
-    stays: Stays,
-    /// The source that passes on what this entry tells, if there is one.
+    /// The sessions that are bound to their release by affinity.
+    affinities: Affinities,
+    /// The source that forwards the hints of this entry, if there is one.
     primary: Option<InstanceId>,
     /// Whether this entry is about to stop.
     leaving: bool,
-    /// What was counted, where the platform is to be told of it.
-    counted: Option<Usage>,
+    /// The usage counts, if the platform asks for usage reports.
+    usage: Option<Usage>,
 }
 
 impl Relay {
-    /// Creates the links of an entry; none is open.
+    /// Creates the replication state of an entry without links.
     pub fn new(own: Peer, bounds: Timeouts) -> Relay {
         Relay {
             follow: Planner::new(own.clone(), bounds),
             own,
             sources: BTreeMap::new(),
-            takers: BTreeMap::new(),
-            found: Reports::default(),
-            failing: false,
+            subscribers: BTreeMap::new(),
+            reports: Reports::default(),
+            operator_failing: false,
             answered: [false; TABLE_COUNT],
-            asked: [Time::default(); TABLE_COUNT],
-            operator: Time::default(),
+            polled_at: [Time::default(); TABLE_COUNT],
+            operator_answered: Time::default(),
             hints: Hints::default(),
-            stays: Stays::default(),
+            affinities: Affinities::default(),
             primary: None,
             leaving: false,
-            counted: None,
+            usage: None,
         }
     }
 
-    /// Begins to count the requests that begin to run.
+    /// Starts counting the requests that begin to run.
     pub fn enable_usage(&mut self, tally: Tally) {
-        self.counted = Some(Usage::new(tally));
+        self.usage = Some(Usage::new(tally));
     }
 
-    /// Returns what was counted, where anything is.
+    /// Returns the usage counts, if requests are counted.
     pub fn usage(&mut self) -> Option<&mut Usage> {
-        self.counted.as_mut()
+        self.usage.as_mut()
     }
 
     /// Counts a request of a client account that began to run.
     pub fn count_request(&mut self, account: &AccountId, mirror: &Mirror, now: Time) {
-        if let Some(counted) = &mut self.counted {
-            counted.began(account, now, mirror.store_time(now));
+        if let Some(usage) = &mut self.usage {
+            usage.began(account, now, mirror.store_time(now));
         }
     }
 
-    /// Returns from whom this entry has the tables.
+    /// Returns the choice of sources.
     pub fn follow(&self) -> &Planner {
         &self.follow
     }
 
-    /// Returns the entry at the other end of a link from which tables come.
+    /// Returns the source at the other end of a link.
     pub fn source(&self, link: Link) -> Option<&InstanceId> {
         self.sources.get(&link).map(|source| &source.name)
     }
 
-    /// Returns how many entries have the tables from here.
+    /// Returns the number of entries that get the tables from this one.
     pub fn subscribers(&self) -> usize {
-        self.takers.len()
+        self.subscribers.len()
     }
 
-    /// Notes an entry that announced itself.
+    /// Adds an entry that published its address.
     pub fn learn(&mut self, peer: Peer) {
         self.follow.add_peer(peer);
     }
 
-    /// Notes that the list of entries is known.
+    /// Records that the list of entries is known.
     pub fn listed(&mut self, now: Time) {
         self.follow.set_listed(now);
     }
 
-    /// Notes that the store has answered for a table.
+    /// Records that the store answered for a table.
     ///
-    /// The operator's is asked often, the others are waited on for long: what is known is as
-    /// new as the last answer for the operator's, as long as all the others have answered
-    /// since the store was away and none of them is [behind](Mirror::behind). Those that have
-    /// the tables from here are told at once, since to them the age of that answer counts.
+    /// The operator table is polled often, the others with long polls. The mirrored tables are
+    /// therefore as current as the last answer for the operator table, provided that all other
+    /// tables have been answered for since the store was last unreachable and none of them is
+    /// [behind](Mirror::behind). Subscribers are notified at once, because the time of that
+    /// answer counts for them.
     pub fn note_answer(&mut self, table: Table, now: Time) {
         self.answered[table as usize] = true;
         if table == Table::Operator {
-            if std::mem::take(&mut self.failing) {
-                // The others begin anew by themselves.
-                self.asked = [now; TABLE_COUNT];
+            if std::mem::take(&mut self.operator_failing) {
+                // The polls of the other tables restart by themselves.
+                self.polled_at = [now; TABLE_COUNT];
             }
-            self.operator = now;
+            self.operator_answered = now;
             self.follow.store_answered(now);
         }
         if !self.reads_store() || self.answered.contains(&false) {
             return;
         }
-        self.follow.record_sync(self.operator);
-        for taker in self.takers.values_mut() {
-            taker.sent = Time::default();
+        self.follow.record_sync(self.operator_answered);
+        for subscriber in self.subscribers.values_mut() {
+            subscriber.last_sent = Time::default();
         }
     }
 
-    /// Notes that what was answered before says nothing any more, since the machine was suspended or
-    /// the store came back from a copy.
+    /// Discards earlier answers as a sign of current tables, after the machine was suspended or
+    /// the store was restored from a backup.
     pub fn invalidate(&mut self, now: Time) {
         self.answered = [false; TABLE_COUNT];
-        self.asked = [now; TABLE_COUNT];
+        self.polled_at = [now; TABLE_COUNT];
     }
 
-    /// Notes that the store has not answered for a table. One that does not answer for the
-    /// operator's is taken for away.
+    /// Records that the store did not answer for a table. If it did not answer for the operator
+    /// table, it is considered unreachable.
     pub fn note_failure(&mut self, table: Table) {
         self.answered[table as usize] = false;
         if table == Table::Operator {
-            self.failing = true;
+            self.operator_failing = true;
             self.answered = [false; TABLE_COUNT];
             self.follow.store_failed();
         }
     }
 
-    /// Notes that this entry is about to stop.
+    /// Records that this entry is about to stop.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Notes what this entry has found of a move.
+    /// Shares this entry's report on a release with other entries.
     pub fn share_report(&mut self, pool: PoolId, report: Report) {
-        self.found.note_near(pool, self.own.name.clone(), report);
+        self.reports.set_local(pool, self.own.name.clone(), report);
     }
 
-    /// Notes that this entry sent an upstream a prompt that takes this long to be read.
-    pub fn share_prefill(&mut self, number: u64, reading: Span) {
-        let prompt = (number, reading.millis().try_into().unwrap_or(u32::MAX));
-        self.hint(Hints {
+    /// Tells other entries that this one sent an upstream a prompt with this prefill time.
+    pub fn share_prefill(&mut self, number: u64, prefill_time: Span) {
+        let prompt = (number, prefill_time.millis().try_into().unwrap_or(u32::MAX));
+        self.queue_hints(Hints {
             prompts: vec![prompt],
             ..Hints::default()
         });
     }
 
-    /// Notes that this entry serves a session that stays at its release.
-    pub fn share_affinity(&mut self, stay: Affinity, now: Time) {
-        let stays = vec![stay];
-        self.stays.note(&stays, now);
-        self.hint(Hints {
-            stays,
+    /// Tells other entries that this one serves a session that is bound to its release by affinity.
+    pub fn share_affinity(&mut self, affinity: Affinity, now: Time) {
+        let affinities = vec![affinity];
+        self.affinities.record(&affinities, now);
+        self.queue_hints(Hints {
+            affinities,
             ..Hints::default()
         });
     }
 
-    /// Notes what this entry tells of requests under which upstreams crashed.
-    pub fn share_quarantine(&mut self, word: quarantine::Update, now: Time) {
-        self.hint(Hints {
-            words: vec![(word, now)],
+    /// Shares this entry's report on requests during which upstreams crashed.
+    pub fn share_quarantine(&mut self, update: quarantine::Update, now: Time) {
+        self.queue_hints(Hints {
+            quarantine: vec![(update, now)],
             ..Hints::default()
         });
     }
 
-    /// Notes what an upstream said of itself to this entry.
-    pub fn share_notice(&mut self, word: notice::Update) {
-        self.hint(Hints {
-            notices: vec![word],
+    /// Shares a notice of an upstream with other entries.
+    pub fn share_notice(&mut self, update: notice::Update) {
+        self.queue_hints(Hints {
+            notices: vec![update],
             ..Hints::default()
         });
     }
 
-    /// Tells hints of this entry: to the source that passes them on, or else to those that have
-    /// the tables from here. By both ways a prompt would count twice.
-    fn hint(&mut self, hints: Hints) {
+    /// Sends hints of this entry to the source that forwards them or, without such a source, to
+    /// the subscribers. Sent both ways, a prompt would be counted twice.
+    fn queue_hints(&mut self, hints: Hints) {
         if self.primary.is_none() {
-            self.tell_takers(&hints, None, true);
+            self.queue_for_subscribers(&hints, None, true);
         }
         self.hints.extend(&hints);
     }
 
-    /// Puts hints in line for those that have the tables from here, but for the one that
-    /// gave them. Only what the own data hall tells goes on to others.
-    fn tell_takers(&mut self, hints: &Hints, from: Option<Link>, is_own: bool) {
+    /// Queues hints for the subscribers, except for the one that sent them. Hints of other data
+    /// halls are queued only for subscribers in this data hall.
+    fn queue_for_subscribers(&mut self, hints: &Hints, from: Option<Link>, is_own: bool) {
         let home = &self.own.hall;
-        for (link, taker) in &mut self.takers {
-            let is_near = taker.hall == *home;
-            let wants = is_near || (is_own && taker.reads_store);
+        for (link, subscriber) in &mut self.subscribers {
+            let is_same_hall = subscriber.hall == *home;
+            let wants = is_same_hall || (is_own && subscriber.reads_store);
             if wants && Some(*link) != from {
-                taker.hints.extend(hints);
+                subscriber.hints.extend(hints);
             }
         }
     }
 
-    /// Takes in that the link to a source is open, or that there is none.
+    /// Handles an opened link to a source, or `None` if the link could not be opened.
     pub fn opened(
         &mut self,
         name: InstanceId,
@@ -308,62 +310,63 @@
             return Vec::new();
         };
         if !self.follow.link_opened(&name, now) {
-            // Kept, it would make the other end read the store for good.
+            // If the link stayed open, the entry at its other end would keep reading the store.
             return vec![Command::Close(link)];
         }
-        let asked = self.asks_at_once(&name, mirror);
-        let frame = match asked {
-            true => self.ask(&name, mirror, now),
-            false => Frame::Follow(Box::new(self.present())),
+        let is_subscribed = self.subscribes_at_once(&name, mirror);
+        let frame = match is_subscribed {
+            true => self.subscription_frame(&name, mirror, now),
+            false => Frame::Follow(Box::new(self.keep_alive())),
         };
         let source = Source {
             name,
-            since: now,
-            asked,
-            sent: now,
-            found: 0,
-            counted: false,
+            opened_at: now,
+            is_subscribed,
+            last_sent: now,
+            sent_reports: 0,
+            has_counts: false,
         };
         self.sources.insert(link, source);
         vec![Command::Send(link, frame)]
     }
 
-    /// Returns whether a source is asked for the tables as soon as it is linked. An entry that
-    /// knows nothing yet asks one of its data hall: from all sources it would have all tables
-    /// whole, which is what a hundred entries that start together wait for.
-    fn asks_at_once(&self, source: &InstanceId, mirror: &Mirror) -> bool {
-        let is_first = !self.sources.values().any(|s| s.asked);
+    /// Returns whether a source is asked for the tables as soon as it is linked. An entry
+    /// without tables asks only one source of its own data hall: each source would send all
+    /// tables whole, which delays the start when a hundred entries start together.
+    fn subscribes_at_once(&self, source: &InstanceId, mirror: &Mirror) -> bool {
+        let is_first = !self.sources.values().any(|s| s.is_subscribed);
         mirror.has_operator_table() || (is_first && self.follow.is_same_hall(source))
     }
 
-    /// Asks the other sources once one has told what there is, or has had the time to.
-    fn ask_rest(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
+    /// Asks the other sources once the first one has sent the tables or has had the time to.
+    fn subscribe_to_rest(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
         let is_due = |s: &Source| {
-            !s.asked && (mirror.has_operator_table() || now.since(s.since) >= ASK_REST)
+            !s.is_subscribed
+                && (mirror.has_operator_table() || now.since(s.opened_at) >= FIRST_SOURCE_TIMEOUT)
         };
         let due = self.sources.iter().filter(|(_, s)| is_due(s));
         let due: Vec<(Link, InstanceId)> = due.map(|(l, s)| (*l, s.name.clone())).collect();
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for (link, name) in due {
-            let frame = self.ask(&name, mirror, now);
+            let frame = self.subscription_frame(&name, mirror, now);
             if let Some(source) = self.sources.get_mut(&link) {
-                source.asked = true;
-                source.sent = now;
+                source.is_subscribed = true;
+                source.last_sent = now;
             }
-            orders.push(Command::Send(link, frame));
+            commands.push(Command::Send(link, frame));
         }
-        orders
+        commands
     }
 
-    /// Takes in that a link is gone.
+    /// Handles a closed link.
     pub fn closed(&mut self, link: Link, now: Time) {
-        self.takers.remove(&link);
+        self.subscribers.remove(&link);
         if let Some(source) = self.sources.remove(&link) {
             self.follow.link_closed(&source.name, now);
         }
     }
 
-    /// Takes in a frame; returns what the tables tell and what is to be done.
+    /// Handles a frame; returns the updates of the tables and the commands that follow.
     pub fn handle_frame(
         &mut self,
         link: Link,
@@ -372,94 +375,95 @@
         now: Time,
     ) -> (Vec<Update>, Vec<Command>) {
         match frame {
-            Frame::Follow(asked) => (Vec::new(), self.asked(link, *asked, mirror, now)),
-            Frame::Feed(feed) => self.fed(link, *feed, mirror, now),
+            Frame::Follow(follow) => (Vec::new(), self.handle_follow(link, *follow, mirror, now)),
+            Frame::Feed(feed) => self.handle_feed(link, *feed, mirror, now),
             _ => (Vec::new(), Vec::new()),
         }
     }
 
-    /// Returns what is to be done as time passes.
+    /// Returns the commands that are due.
     pub fn step(&mut self, mirror: &mut Mirror, now: Time) -> Vec<Command> {
         if mirror.has_operator_table() {
             self.follow.set_configured();
         }
-        self.follow.set_requested(!self.takers.is_empty());
+        self.follow.set_requested(!self.subscribers.is_empty());
         self.primary = self.follow.primary(now).cloned();
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for action in self.follow.step(now) {
             match action {
-                Action::Open(name, address) => orders.push(Command::Open(name, address)),
-                Action::Read(reading) => {
-                    self.failing &= reading != Subscription::Nothing;
+                Action::Open(name, address) => commands.push(Command::Open(name, address)),
+                Action::Read(subscription) => {
+                    self.operator_failing &= subscription != Subscription::Nothing;
                     self.answered = [false; TABLE_COUNT];
-                    self.asked = [now; TABLE_COUNT];
-                    orders.push(Command::Read(reading));
+                    self.polled_at = [now; TABLE_COUNT];
+                    commands.push(Command::Read(subscription));
                 }
                 Action::Close(name) => {
                     let links = self.sources.iter().filter(|(_, s)| s.name == name);
                     let links: Vec<Link> = links.map(|(link, _)| *link).collect();
                     for link in links {
                         self.sources.remove(&link);
-                        orders.push(Command::Close(link));
+                        commands.push(Command::Close(link));
                     }
                 }
             }
         }
-        orders.extend(self.ask_anew(mirror, now));
-        orders.extend(self.ask_rest(mirror, now));
-        orders.extend(self.tell_sources(mirror, now));
-        orders.extend(self.publish(mirror, now));
-        orders
+        commands.extend(self.poll_stale(mirror, now));
+        commands.extend(self.subscribe_to_rest(mirror, now));
+        commands.extend(self.notify_sources(mirror, now));
+        commands.extend(self.publish(mirror, now));
+        commands
     }
 
-    /// Asks anew for tables whose waits tell nothing, while the store answers for others.
+    /// Polls tables anew whose long polls yield nothing while the store answers for others.
     ///
-    /// A wait can hang on a dead connection, or hear nothing after the store forgot its
-    /// history, until its own end; that the operator's table is answered for says nothing of it.
-    fn ask_anew(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
-        if !self.reads_store() || self.failing {
+    /// A long poll may hang on a dead connection, or miss changes until it ends if the store
+    /// has lost its history. Answers for the operator table do not reveal this.
+    fn poll_stale(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
+        if !self.reads_store() || self.operator_failing {
             return Vec::new();
         }
         for table in mirror.behind(now, self.follow.timeouts().version_gap) {
             self.answered[table as usize] = false;
         }
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for table in Table::ALL {
             let number = table as usize;
-            if !self.answered[number] && now.since(self.asked[number]) >= ASKED {
-                self.asked[number] = now;
-                orders.push(Command::Poll(table));
+            if !self.answered[number] && now.since(self.polled_at[number]) >= MIN_POLL_INTERVAL {
+                self.polled_at[number] = now;
+                commands.push(Command::Poll(table));
             }
         }
-        orders
+        commands
     }
 
-    /// Hands on what is new to those that have the tables from here.
+    /// Sends changes to the subscribers.
     pub fn publish(&mut self, mirror: &mut Mirror, now: Time) -> Vec<Command> {
-        let links: Vec<Link> = self.takers.keys().copied().collect();
-        let orders = links
+        let links: Vec<Link> = self.subscribers.keys().copied().collect();
+        let commands = links
             .into_iter()
-            .filter_map(|link| self.hand_to(link, mirror, now));
-        orders.collect()
+            .filter_map(|link| self.publish_to(link, mirror, now));
+        commands.collect()
     }
 
-    fn hand_to(&mut self, link: Link, mirror: &mut Mirror, now: Time) -> Option<Command> {
-        let taker = self.takers.get(&link)?;
-        let due = now.since(taker.sent) >= self.follow.timeouts().heartbeat;
-        let told = !taker.hints.is_empty() && now.since(taker.sent) >= GATHER_HINTS;
+    fn publish_to(&mut self, link: Link, mirror: &mut Mirror, now: Time) -> Option<Command> {
+        let subscriber = self.subscribers.get(&link)?;
+        let is_due = now.since(subscriber.last_sent) >= self.follow.timeouts().heartbeat;
+        let has_hints =
+            !subscriber.hints.is_empty() && now.since(subscriber.last_sent) >= HINT_BATCH_DELAY;
         let mut tables = Vec::new();
-        for (table, have) in Table::ALL.iter().zip(&taker.have) {
-            if due || mirror.has_changed(*table, *have) {
+        for (table, have) in Table::ALL.iter().zip(&subscriber.stamps) {
+            if is_due || mirror.has_changed(*table, *have) {
                 tables.extend(mirror.delta(*table, *have));
             }
         }
-        if !due && !told && tables.is_empty() {
+        if !is_due && !has_hints && tables.is_empty() {
             return None;
         }
-        let found = match taker.found < self.found.changes() {
+        let reports = match subscriber.sent_reports < self.reports.changes() {
             true => self
-                .found
-                .told_to(&taker.entry, &taker.hall, &self.own.hall),
+                .reports
+                .reports_for(&subscriber.entry, &subscriber.hall, &self.own.hall),
             false => Vec::new(),
         };
         let feed = Feed {
@@ -468,73 +472,78 @@
             era: mirror.era(),
             leaving: self.leaving,
             tables,
-            release_reports: found,
-            sent_prompts: taker.hints.prompts.clone(),
-            affinities: taker.hints.stays.clone(),
-            quarantine: taker.hints.words_at(now),
-            notices: taker.hints.notices.clone(),
-            epoch_us: self.counted.as_ref().and_then(Usage::agreed),
+            release_reports: reports,
+            sent_prompts: subscriber.hints.prompts.clone(),
+            affinities: subscriber.hints.affinities.clone(),
+            quarantine: subscriber.hints.quarantine_at(now),
+            notices: subscriber.hints.notices.clone(),
+            epoch_us: self.usage.as_ref().and_then(Usage::agreed),
         };
-        let taker = self.takers.get_mut(&link)?;
+        let subscriber = self.subscribers.get_mut(&link)?;
         for table in &feed.tables {
-            taker.have[table.number] = Stamp::new(table.era, table.version);
+            subscriber.stamps[table.number] = Stamp::new(table.era, table.version);
         }
-        taker.sent = now;
-        taker.found = self.found.changes();
-        taker.hints = Hints::default();
+        subscriber.last_sent = now;
+        subscriber.sent_reports = self.reports.changes();
+        subscriber.hints = Hints::default();
         Some(Command::Send(link, Frame::Feed(Box::new(feed))))
     }
 
-    /// Tells the sources that this entry is there, and what it has found since.
-    fn tell_sources(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
-        let beat = self.follow.timeouts().heartbeat;
-        let changes = self.found.changes();
-        let mut orders = Vec::new();
-        let has_found = self.found.has_any_by(&self.own.name);
+    /// Sends keep-alives, release reports, counts and hints to the sources.
+    fn notify_sources(&mut self, mirror: &Mirror, now: Time) -> Vec<Command> {
+        let heartbeat = self.follow.timeouts().heartbeat;
+        let changes = self.reports.changes();
+        let mut commands = Vec::new();
+        let has_reports = self.reports.has_reports_of(&self.own.name);
         let reads_store = self.reads_store();
-        let present = self.present();
+        let keep_alive = self.keep_alive();
         let hints = std::mem::take(&mut self.hints);
-        let mut was_told = reads_store && self.primary.is_none();
+        let mut was_sent = reads_store && self.primary.is_none();
         let leaving = self.leaving;
-        let parts = self.counted.as_mut();
-        let parts = parts.map_or(Vec::new(), |c| c.due(leaving, now));
-        let epoch = own_epoch(mirror, now).filter(|_| self.counted.is_some());
+        let changed_counts = self.usage.as_mut();
+        let changed_counts = changed_counts.map_or(Vec::new(), |c| c.due(leaving, now));
+        let epoch = own_epoch(mirror, now).filter(|_| self.usage.is_some());
         for (link, source) in &mut self.sources {
-            let is_near = self.follow.is_same_hall(&source.name);
-            let counts = counts_for(source, &parts, self.counted.as_ref().filter(|_| is_near));
-            let passed = now.since(source.sent);
-            let news = source.found < changes && has_found && passed >= beat;
-            let told = !hints.is_empty() && self.primary.as_ref() == Some(&source.name);
-            if !news && !told && counts.is_empty() && passed < KEEP {
+            let is_same_hall = self.follow.is_same_hall(&source.name);
+            let counts = counts_for(
+                source,
+                &changed_counts,
+                self.usage.as_ref().filter(|_| is_same_hall),
+            );
+            let passed = now.since(source.last_sent);
+            let has_new_reports =
+                source.sent_reports < changes && has_reports && passed >= heartbeat;
+            let has_hints = !hints.is_empty() && self.primary.as_ref() == Some(&source.name);
+            if !has_new_reports && !has_hints && counts.is_empty() && passed < KEEP_ALIVE {
                 continue;
             }
-            source.sent = now;
-            source.found = changes;
-            let mut follow = present.clone();
+            source.last_sent = now;
+            source.sent_reports = changes;
+            let mut follow = keep_alive.clone();
             if !counts.is_empty() {
                 follow.counts = counts;
                 follow.epoch_us = epoch;
             }
-            if news {
-                follow.release_reports = self.found.by(&self.own.name);
+            if has_new_reports {
+                follow.release_reports = self.reports.reports_of(&self.own.name);
             }
-            if told {
+            if has_hints {
                 follow.sent_prompts.clone_from(&hints.prompts);
-                follow.affinities.clone_from(&hints.stays);
-                follow.quarantine = hints.words_at(now);
+                follow.affinities.clone_from(&hints.affinities);
+                follow.quarantine = hints.quarantine_at(now);
                 follow.notices.clone_from(&hints.notices);
-                was_told = true;
+                was_sent = true;
             }
-            orders.push(Command::Send(*link, Frame::Follow(Box::new(follow))));
+            commands.push(Command::Send(*link, Frame::Follow(Box::new(follow))));
         }
-        if !was_told {
-            // Prompts are read by the time that a source is linked again; sessions stay, and
-            // what crashes upstreams goes on doing so.
-            self.hints.stays = hints.stays;
-            self.hints.words = hints.words;
+        if !was_sent {
+            // The prompts will have been read by the time that a source is linked again.
+            // Session affinities persist, and a request that crashes upstreams continues to do so.
+            self.hints.affinities = hints.affinities;
+            self.hints.quarantine = hints.quarantine;
             self.hints.notices = hints.notices;
         }
-        orders
+        commands
     }
 
     /// Returns whether this entry reads all tables of the store itself.
@@ -542,8 +551,8 @@
         self.follow.subscription() == Subscription::All
     }
 
-    /// Returns what tells a source that this entry is there, and nothing more.
-    fn present(&self) -> wire::Follow {
+    /// Returns a keep-alive for a source.
+    fn keep_alive(&self) -> wire::Follow {
         wire::Follow {
             entry: self.own.name.clone(),
             hall: self.own.hall.clone(),
@@ -559,24 +568,25 @@
         }
     }
 
-    /// Returns what asks a source for all that is newer than what is known here. One of this
-    /// data hall, which may have just started, is told of all sessions; others have them from
-    /// their own.
-    fn ask(&self, source: &InstanceId, mirror: &Mirror, now: Time) -> Frame {
-        let stays = match self.follow.is_same_hall(source) {
-            true => self.stays.live(now),
+    /// Returns the frame that asks a source for everything newer than the mirrored tables. A
+    /// source in this data hall may have just started and gets all session affinities; other
+    /// sources get theirs from entries of their own data hall.
+    fn subscription_frame(&self, source: &InstanceId, mirror: &Mirror, now: Time) -> Frame {
+        let affinities = match self.follow.is_same_hall(source) {
+            true => self.affinities.live(now),
             false => Vec::new(),
         };
         Frame::Follow(Box::new(wire::Follow {
-            cursor: Some(mirror.have()),
-            affinities: stays,
-            ..self.present()
+            cursor: Some(mirror.cursor()),
+            affinities,
+            ..self.keep_alive()
         }))
     }
 
-    /// Tells the own source what may be told twice: an entry that does not reach it tells only
-    /// this one, which passes on to its own takers alone.
-    fn pass_up(&mut self, hints: &Hints) {
+    /// Queues hints for the primary source, except for prompts, which must not be counted
+    /// twice. An entry that cannot reach the primary source sends its hints only to this entry,
+    /// which otherwise forwards them to its own subscribers alone.
+    fn forward_hints(&mut self, hints: &Hints) {
         if self.primary.is_none() {
             return;
         }
@@ -586,67 +596,69 @@
         });
     }
 
-    /// Takes in that an entry asks for tables, or is still there.
-    fn asked(
+    /// Handles a subscription or the keep-alive of a subscriber.
+    fn handle_follow(
         &mut self,
         link: Link,
-        asked: wire::Follow,
+        follow: wire::Follow,
         mirror: &mut Mirror,
         now: Time,
     ) -> Vec<Command> {
-        let is_near = asked.hall == self.own.hall;
-        if let Some(have) = asked.cursor {
-            let have = have.versions.map(|version| Stamp::new(have.era, version));
-            let taker = Taker {
-                entry: asked.entry.clone(),
-                hall: asked.hall,
-                have,
-                sent: Time::default(),
-                found: 0,
-                reads_store: asked.reads_store,
+        let is_same_hall = follow.hall == self.own.hall;
+        if let Some(cursor) = follow.cursor {
+            let stamps = cursor
+                .versions
+                .map(|version| Stamp::new(cursor.era, version));
+            let subscriber = Subscriber {
+                entry: follow.entry.clone(),
+                hall: follow.hall,
+                stamps,
+                last_sent: Time::default(),
+                sent_reports: 0,
+                reads_store: follow.reads_store,
                 hints: Hints {
-                    stays: self.stays.live(now),
+                    affinities: self.affinities.live(now),
                     ..Hints::default()
                 },
             };
-            self.takers.insert(link, taker);
+            self.subscribers.insert(link, subscriber);
         }
-        if let Some(taker) = self.takers.get_mut(&link) {
-            taker.reads_store = asked.reads_store;
+        if let Some(subscriber) = self.subscribers.get_mut(&link) {
+            subscriber.reads_store = follow.reads_store;
         }
-        let mut orders = Vec::new();
-        if let Some(counted) = self.counted.as_mut().filter(|_| is_near) {
-            counted.merge(&asked.entry, asked.counts, asked.epoch_us);
+        let mut commands = Vec::new();
+        if let Some(usage) = self.usage.as_mut().filter(|_| is_same_hall) {
+            usage.merge(&follow.entry, follow.counts, follow.epoch_us);
         }
-        if is_near {
+        if is_same_hall {
             let hints = Hints {
-                prompts: asked.sent_prompts,
-                stays: asked.affinities,
-                words: asked
+                prompts: follow.sent_prompts,
+                affinities: follow.affinities,
+                quarantine: follow
                     .quarantine
                     .into_iter()
-                    .map(|word| (word, now))
+                    .map(|update| (update, now))
                     .collect(),
-                notices: asked.notices,
+                notices: follow.notices,
             };
-            self.stays.note(&hints.stays, now);
-            self.tell_takers(&hints, Some(link), true);
-            self.pass_up(&hints);
-            orders.extend(hints.orders());
-        }
-        for (pool, report) in asked.release_reports.into_iter().filter(|_| is_near) {
-            self.found
-                .note_near(pool.clone(), asked.entry.clone(), report);
-            let others = self.found.near_but(&pool, &self.own.name);
+            self.affinities.record(&hints.affinities, now);
+            self.queue_for_subscribers(&hints, Some(link), true);
+            self.forward_hints(&hints);
+            commands.extend(hints.commands());
+        }
+        for (pool, report) in follow.release_reports.into_iter().filter(|_| is_same_hall) {
+            self.reports
+                .set_local(pool.clone(), follow.entry.clone(), report);
+            let others = self.reports.local_sum_without(&pool, &self.own.name);
             let hall = self.own.hall.clone();
-            orders.extend(others.map(|sum| Command::Report(pool, hall, sum)));
+            commands.extend(others.map(|sum| Command::Report(pool, hall, sum)));
         }
-        orders.extend(self.hand_to(link, mirror, now));
-        orders
+        commands.extend(self.publish_to(link, mirror, now));
+        commands
     }
 
-    /// Takes in what a source hands down.
-    fn fed(
+    /// Handles tables and hints from a source.
+    fn handle_feed(
         &mut self,
         link: Link,
         feed: Feed,
@@ -659,82 +671,84 @@
         if let Some(clock) = feed.clock_us {
             mirror.note_clock(clock, now);
         }
-        if let Some(counted) = &mut self.counted {
-            counted.agree(feed.epoch_us);
+        if let Some(usage) = &mut self.usage {
+            usage.agree(feed.epoch_us);
         }
         let name = source.name.clone();
-        let is_near = self.follow.is_same_hall(&name);
-        let mut news = Vec::new();
+        let is_same_hall = self.follow.is_same_hall(&name);
+        let mut updates = Vec::new();
         let mut gap = false;
         for delta in feed.tables {
             match mirror.apply_delta(delta, now) {
                 Merge::Stale => {}
                 Merge::Gap => gap = true,
-                Merge::Applied(more) => news.extend(more),
+                Merge::Applied(more) => updates.extend(more),
             }
         }
-        // An age without the changes that go with it would make what is known look newer
-        // than it is, here and at all that have the tables from here.
-        // So would that of a source which does not know yet that the store came back from a copy.
+        // The time of the last contact must not be taken over without the changes that belong
+        // to it: the tables would seem more current than they are, here and at all subscribers.
+        // The same holds for a source that does not know yet that the store was restored.
         let is_current = !gap && feed.era >= mirror.era();
-        let heard = feed.last_contact_us.filter(|_| is_current);
-        let word = Status {
-            last_sync: heard.and_then(|micros| mirror.local_time(micros)),
+        let last_contact = feed.last_contact_us.filter(|_| is_current);
+        let status = Status {
+            last_sync: last_contact.and_then(|micros| mirror.local_time(micros)),
             leaving: feed.leaving,
         };
-        self.follow.record_status(&name, word, now);
+        self.follow.record_status(&name, status, now);
         let hints = Hints {
             prompts: feed.sent_prompts,
-            stays: feed.affinities,
-            words: feed
+            affinities: feed.affinities,
+            quarantine: feed
                 .quarantine
                 .into_iter()
-                .map(|word| (word, now))
+                .map(|update| (update, now))
                 .collect(),
             notices: feed.notices,
         };
-        self.stays.note(&hints.stays, now);
-        let mut orders = hints.orders();
+        self.affinities.record(&hints.affinities, now);
+        let mut commands = hints.commands();
         if gap {
             if let Some(source) = self.sources.get_mut(&link) {
-                source.sent = now;
+                source.last_sent = now;
             }
-            let frame = self.ask(&name, mirror, now);
-            orders.push(Command::Send(link, frame));
+            let frame = self.subscription_frame(&name, mirror, now);
+            commands.push(Command::Send(link, frame));
         }
-        if !is_near {
-            self.tell_takers(&hints, None, false);
+        if !is_same_hall {
+            self.queue_for_subscribers(&hints, None, false);
         }
         for (pool, hall, report) in feed.release_reports {
             if hall != self.own.hall {
-                self.found.note_far(&pool, &hall, &report);
+                self.reports.merge_remote(&pool, &hall, &report);
             }
-            // What the own data hall found is known better here where others tell it here.
-            if hall != self.own.hall || self.takers.is_empty() {
-                orders.push(Command::Report(pool, hall, report));
+            // If this entry has subscribers, they send it the reports of its own data hall
+            // directly, which are more current.
+            if hall != self.own.hall || self.subscribers.is_empty() {
+                commands.push(Command::Report(pool, hall, report));
             }
         }
-        (news, orders)
+        (updates, commands)
     }
 }
 
-/// Returns what a source is to be told of what was counted: all where it was told nothing yet, or
-/// else what has changed. `usage` is given where it is told of that at all.
+/// Returns the counts that are due for a source: all if it has none yet, otherwise the changed
+/// ones. `counted` is `None` for a source that gets no counts.
 fn counts_for(
     source: &mut Source,
     changed: &[UsageUpdate],
-    counted: Option<&Usage>,
+    usage: Option<&Usage>,
 ) -> Vec<UsageUpdate> {
-    let Some(counted) = counted else {
+    let Some(usage) = usage else {
         return Vec::new();
     };
-    match std::mem::replace(&mut source.counted, true) {
+    match std::mem::replace(&mut source.has_counts, true) {
         true => changed.to_vec(),
-        false => counted.tally().snapshot(),
+        false => usage.tally().snapshot(),
     }
 }
 
-/// Returns the time of day less the store's clock as this process has it, in microseconds.
+/// Returns the difference between UTC and the store's clock according to this process, in
+/// microseconds.
 pub fn own_epoch(mirror: &Mirror, now: Time) -> Option<i64> {
     let store = i64::try_from(mirror.store_time(now)?).ok()?;
     i64::try_from(now.0).ok()?.checked_sub(store)
--- a/crates/daemon/src/hosted/reports.rs
+++ b/crates/daemon/src/hosted/reports.rs
@@ -1,57 +1,58 @@
-//! What the entries found of moves to other releases: those of this data hall one by one,
-//! those of others together.
+//! Reports of entries on roll-outs: those of this data hall by entry, those of other data halls
+//! as one sum each.
 
 use sorreldeck::release::Report;
 use sorreldeck::{Hall, InstanceId, PoolId};
 use std::collections::BTreeMap;
 
-/// What was found.
+/// The latest reports.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    near: BTreeMap<(PoolId, InstanceId), Report>,
-    far: BTreeMap<(PoolId, Hall), Report>,
-    /// The changes so far.
+    local: BTreeMap<(PoolId, InstanceId), Report>,
+    remote: BTreeMap<(PoolId, Hall), Report>,
+    /// Counts the changes.
     changes: u64,
 }
 
 impl Reports {
-    /// Returns how often anything changed.
+    /// Returns the change counter.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Notes what an entry of this data hall found.
-    pub fn note_near(&mut self, pool: PoolId, entry: InstanceId, report: Report) {
-        self.near.insert((pool, entry), report);
+    /// Stores the report of an entry in this data hall.
+    pub fn set_local(&mut self, pool: PoolId, entry: InstanceId, report: Report) {
+        self.local.insert((pool, entry), report);
         self.changes += 1;
     }
 
-    /// Notes what the entries of another data hall found, if that is news.
-    pub fn note_far(&mut self, pool: &PoolId, hall: &Hall, report: &Report) {
+    /// Stores the summed report of another data hall, if it is newer than the stored one.
+    pub fn merge_remote(&mut self, pool: &PoolId, hall: &Hall, report: &Report) {
         let key = (pool.clone(), hall.clone());
-        let known = self.far.get(&key);
-        if known.is_none_or(|known| report.is_after(known)) {
-            self.far.insert(key, report.clone());
+        let stored = self.remote.get(&key);
+        if stored.is_none_or(|stored| report.is_after(stored)) {
+            self.remote.insert(key, report.clone());
             self.changes += 1;
         }
     }
 
-    /// Returns whether an entry found anything.
-    pub fn has_any_by(&self, name: &InstanceId) -> bool {
-        self.near.keys().any(|(_, by)| by == name)
+    /// Returns whether there is a report of an entry.
+    pub fn has_reports_of(&self, name: &InstanceId) -> bool {
+        self.local.keys().any(|(_, by)| by == name)
     }
 
-    /// Returns what an entry found.
-    pub fn by(&self, name: &InstanceId) -> Vec<(PoolId, Report)> {
-        let own = self.near.iter().filter(|((_, by), _)| by == name);
+    /// Returns the reports of an entry.
+    pub fn reports_of(&self, name: &InstanceId) -> Vec<(PoolId, Report)> {
+        let own = self.local.iter().filter(|((_, by), _)| by == name);
         own.map(|((pool, _), report)| (pool.clone(), report.clone()))
             .collect()
     }
 
-    /// Returns what the entries of this data hall found of a pool, but for one of them.
-    pub fn near_but(&self, pool: &PoolId, name: &InstanceId) -> Option<Report> {
+    /// Returns the sum of the reports on a pool by the entries of this data hall, without one
+    /// entry.
+    pub fn local_sum_without(&self, pool: &PoolId, name: &InstanceId) -> Option<Report> {
         let others = self
-            .near
+            .local
             .iter()
             .filter(|((p, by), _)| p == pool && by != name);
         let mut reports = others.map(|(_, report)| report);
@@ -62,25 +63,26 @@
         Some(sum)
     }
 
-    /// Returns what is told to an entry of a data hall by one of `own`: never what it found
-    /// itself, and to other data halls only what this one found.
-    pub fn told_to(
+    /// Returns the reports that are sent to an entry. `own` is the data hall of the sender. The
+    /// entry's own reports are left out, and an entry in another data hall gets only the sum of
+    /// this data hall.
+    pub fn reports_for(
         &self,
         entry: &InstanceId,
         hall: &Hall,
         own: &Hall,
     ) -> Vec<(PoolId, Hall, Report)> {
-        let mut pools: Vec<&PoolId> = self.near.keys().map(|(pool, _)| pool).collect();
+        let mut pools: Vec<&PoolId> = self.local.keys().map(|(pool, _)| pool).collect();
         pools.dedup();
-        let near = pools.into_iter().filter_map(|pool| {
-            let sum = self.near_but(pool, entry)?;
+        let local = pools.into_iter().filter_map(|pool| {
+            let sum = self.local_sum_without(pool, entry)?;
             Some((pool.clone(), own.clone(), sum))
         });
-        let mut found: Vec<_> = near.collect();
+        let mut reports: Vec<_> = local.collect();
         if hall == own {
-            let far = self.far.iter();
-            found.extend(far.map(|((pool, hall), r)| (pool.clone(), hall.clone(), r.clone())));
+            let remote = self.remote.iter();
+            reports.extend(remote.map(|((pool, hall), r)| (pool.clone(), hall.clone(), r.clone())));
         }
-        found
+        reports
     }
 }
--- a/crates/daemon/src/hosted/restorer.rs
+++ b/crates/daemon/src/hosted/restorer.rs
@@ -1,8 +1,8 @@
 //! Writes again what entries had recorded and the store lost when it came back from a copy.
 //!
-//! Any entry may write; the version of the row in the store is the condition, so of several that try
-//! at once one succeeds. Those that read the store write first, and what they wrote is heard by the
-//! others meanwhile. Where an entry is, it alone writes.
+//! Any entry may write; the version of the row in the store is the condition, so of several
+//! that try at once one succeeds. Those that read the store write first, and what they wrote is
+//! heard by the others meanwhile. Where an entry is, it alone writes.
 
 use super::event_loop::Message;
 use super::mirror::{Mirror, Rewrite, ENTRY_PREFIX};
--- a/crates/daemon/src/hosted/shared.rs
+++ b/crates/daemon/src/hosted/shared.rs
@@ -1,4 +1,4 @@
-//! What tasks share with the loop of a hosted entry.
+//! State that tasks share with the event loop of a hosted entry.
 
 use super::event_loop::Message;
 use async_channel::Sender;
@@ -8,88 +8,89 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, RwLock};
 
-/// The memory that request bodies may take, as a part of all: the rest is for
-/// answers under way and for what the process needs at rest.
-const BODIES_PART: u64 = 5;
-/// The memory assumed where the settings name none, in bytes.
-const MEMORY: u64 = 128 * 1024 * 1024;
+/// The share of the memory that request bodies may take, as 1/`BODY_MEMORY_DIVISOR`. The rest
+/// is for responses in progress and for the idle process.
+const BODY_MEMORY_DIVISOR: u64 = 5;
+/// Memory in bytes that is assumed if the settings name none.
+const DEFAULT_MEMORY: u64 = 128 * 1024 * 1024;
 
-/// What tasks share with the loop.
+/// State that tasks share with the event loop.
 #[derive(Clone)]
 pub struct Shared {
-    /// The way to the loop.
+    /// Sends messages to the event loop.
     pub send: Sender<Message>,
-    /// The run of this process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
     limits: Arc<RwLock<Limits>>,
     ready: Arc<AtomicBool>,
-    next: Arc<AtomicU64>,
+    next_number: Arc<AtomicU64>,
     buffered: Arc<AtomicUsize>,
-    room_for_bodies: usize,
+    max_buffered: usize,
 }
 
 impl Shared {
-    /// Creates what tasks share.
+    /// Creates the shared state.
     pub fn new(send: Sender<Message>, incarnation: Incarnation, settings: &Settings) -> Shared {
         let memory = match settings.memory.bytes() {
-            0 => MEMORY,
-            known => known,
+            0 => DEFAULT_MEMORY,
+            configured => configured,
         };
         Shared {
             send,
             incarnation,
             limits: Arc::default(),
             ready: Arc::default(),
-            next: Arc::new(AtomicU64::new(1)),
+            next_number: Arc::new(AtomicU64::new(1)),
             buffered: Arc::default(),
-            room_for_bodies: (memory / BODIES_PART) as usize,
+            max_buffered: (memory / BODY_MEMORY_DIVISOR) as usize,
         }
     }
 
-    /// Sets what callers may send.
+    /// Sets the limits for requests of clients.
     pub fn set_limits(&self, limits: Limits) {
         *self.limits.write().unwrap_or_else(|e| e.into_inner()) = limits;
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether this entry accepts clients.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Sets whether callers may be sent here; returns what it was before.
+    /// Sets whether this entry accepts clients; returns the previous value.
     pub fn set_ready(&self, ready: bool) -> bool {
         self.ready.swap(ready, Ordering::Relaxed)
     }
 
-    /// Returns the identity of the next request.
+    /// Returns a new request ID.
     pub fn next_request(&self) -> RequestId {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         RequestId::new(self.incarnation.0, number)
     }
 
-    /// Returns what callers may send.
+    /// Returns the limits for requests of clients.
     pub fn limits(&self) -> Limits {
         *self.limits.read().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Sets memory aside for a part of a body; returns whether there was room.
+    /// Reserves memory for a part of a request body; returns `false` if the limit would be
+    /// exceeded.
     pub fn reserve(&self, bytes: usize) -> bool {
         let before = self.buffered.fetch_add(bytes, Ordering::Relaxed);
-        let fits = before + bytes <= self.room_for_bodies;
+        let fits = before + bytes <= self.max_buffered;
         if !fits {
             self.release(bytes);
         }
         fits
     }
 
-    /// Gives memory back.
+    /// Releases reserved memory.
     pub fn release(&self, bytes: usize) {
         self.buffered.fetch_sub(bytes, Ordering::Relaxed);
     }
 }
 
-/// Returns the memory of this process and the most that it ever was, in kB; 0 where the system does
-/// not tell.
+/// Returns the current and peak resident memory of this process in kB; 0 if the system does not
+/// report it.
 pub fn memory() -> (u64, u64) {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let field = |name: &str| {
