--- a/crates/daemon/src/hosted/answers.rs
+++ b/crates/daemon/src/hosted/answers.rs
@@ -1,25 +1,26 @@
-//! When the platform's store answered this entry for each table, for the log and the figures.
+//! Times at which the platform's store last answered this entry for each table, for logs and
+//! metrics.
 //!
-//! A table whose answers stay away while another one's come is seen here and nowhere else:
-//! what other entries hand on hides it.
+//! These reveal a table whose answers are missing while those of others arrive. The mirrored
+//! versions do not, because other entries keep them current.
 
 use sorreldeck::Time;
 use sorreldeck_platform::Table;
 
-/// The times of the latest answers.
+/// The time of the latest answer for each table.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Answers([Option<Time>; 4]);
 
 impl Answers {
-    /// Notes an answer for a table.
-    pub fn note(&mut self, table: Table, now: Time) {
+    /// Records an answer for a table.
+    pub fn record(&mut self, table: Table, now: Time) {
         self.0[table as usize] = Some(now);
     }
 
-    /// Returns for how many milliseconds the store has not answered for a table; -1 stands
-    /// for no answer ever.
+    /// Returns the milliseconds since the store last answered for a table, or -1 if it never
+    /// did.
     pub fn silence_ms(&self, table: Table, now: Time) -> i64 {
-        let answered = self.0[table as usize];
-        answered.map_or(-1, |at| now.since(at).millis() as i64)
+        let answered_at = self.0[table as usize];
+        answered_at.map_or(-1, |at| now.since(at).millis() as i64)
     }
 }
--- a/crates/daemon/src/hosted/duties.rs
+++ b/crates/daemon/src/hosted/duties.rs
@@ -1,7 +1,7 @@
-//! Makes the calls of duties that one entry does at a time for all.
+//! Usage reporting, which one entry at a time does for all.
 //!
-//! [`sorreldeck::duty`] decides; here stand the calls to the store and to the platform, and the
-//! lines in the log.
+//! [`sorreldeck::duty`] makes the decisions; this module makes the calls to the store and the
+//! platform and writes the log lines.
 
 use super::event_loop::{EventLoop, Message};
 use async_channel::Sender;
@@ -14,63 +14,63 @@
 use sorreldeck_platform::{settings, Cloud, Settings as Process, Store, Table};
 use std::future::Future;
 
-/// The duties of an entry.
+/// Usage reporting of an entry.
 pub struct Duties {
     duty: Reporter,
     cloud: Cloud,
     store: Store,
-    tell: Sender<Message>,
-    /// The fence that was told of in the log.
+    messages: Sender<Message>,
+    /// The fence that was last logged.
     fence: Option<u64>,
     outcomes: Outcomes,
 }
 
-/// What came of reports so far.
+/// Numbers of reports by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcomes {
-    /// The reports that the platform took.
+    /// The reports that the platform accepted.
     pub taken: u64,
-    /// Those that it did not take, or of which nothing is known.
+    /// The reports that the platform refused or whose outcome is unknown.
     pub failed: u64,
 }
 
 impl Duties {
-    /// Creates the duties of an entry, where the platform asks for any.
+    /// Returns usage reporting of an entry, or `None` if the platform does not ask for it.
     pub fn new(
         settings: &Process,
         incarnation: Incarnation,
         store: Store,
-        tell: Sender<Message>,
+        messages: Sender<Message>,
     ) -> Option<Duties> {
         let asked = settings.duties.filter(|duties| duties.reports_usage)?;
         Some(Duties {
             duty: Reporter::new(settings_of(settings, &asked, incarnation)),
             cloud: Cloud::new(asked.address),
             store,
-            tell,
+            messages,
             fence: None,
             outcomes: Outcomes::default(),
         })
     }
 
-    /// Returns the decisions.
+    /// Returns the decision logic.
     pub fn duty(&self) -> &Reporter {
         &self.duty
     }
 
-    /// Returns whether this entry was last known not to make any calls.
+    /// Returns whether this entry did not hold the lease at the last step.
     pub fn is_idle(&self) -> bool {
         self.fence.is_none()
     }
 
-    /// Returns what came of reports so far.
+    /// Returns the numbers of reports by outcome.
     pub fn outcomes(&self) -> Outcomes {
         self.outcomes
     }
 
     /// Begins the next call, if one is due.
     pub fn step(&mut self, around: &Context, now: Time) {
-        self.tell_of_lease(now);
+        self.log_lease(now);
         match self.duty.next(around, now) {
             Step::Read => self.read(),
             Step::Write(change) => self.write(change),
@@ -79,7 +79,7 @@
         }
     }
 
-    fn tell_of_lease(&mut self, now: Time) {
+    fn log_lease(&mut self, now: Time) {
         let fence = self.duty.fence(now);
         if fence == self.fence {
             return;
@@ -95,48 +95,48 @@
     fn read(&self) {
         let store = self.store.clone();
         let call = async move { store.read(Table::Duties).await };
-        self.make(call, |room, read| {
-            room.with_duties(|duties, now| duties.was_read(read, now));
+        self.spawn_call(call, |event_loop, read| {
+            event_loop.with_duties(|duties, now| duties.on_read(read, now));
         });
     }
 
-    /// Makes a call beside the loop, which then takes in what came of it.
-    fn make<T: Send + 'static>(
+    /// Makes a call in a task of its own and passes its outcome to the event loop.
+    fn spawn_call<T: Send + 'static>(
         &self,
         call: impl Future<Output = T> + Send + 'static,
         take: impl FnOnce(&mut EventLoop, T) + Send + 'static,
     ) {
-        let tell = self.tell.clone();
+        let messages = self.messages.clone();
         task::spawn(async move {
             let answer = call.await;
-            let take = move |room: &mut EventLoop| take(room, answer);
-            // The loop ends only with the process.
-            let _ = tell.send(Message::Execute(Box::new(take))).await;
+            let take = move |event_loop: &mut EventLoop| take(event_loop, answer);
+            // Sending fails only while the process ends, since the event loop runs until then.
+            let _ = messages.send(Message::Execute(Box::new(take))).await;
         });
     }
 
-    fn was_read(&mut self, read: Result<Page, Trouble>, now: Time) {
+    fn on_read(&mut self, read: Result<Page, Trouble>, now: Time) {
         match read {
             Ok(page) => {
                 let rows = page.rows.into_iter().filter_map(row_of);
                 self.duty.on_read(page.era, rows.collect(), now);
             }
-            Err(trouble) => {
-                warn!("event=duty-not-read error={trouble}");
+            Err(error) => {
+                warn!("event=duty-not-read error={error}");
                 self.duty.on_failed(now);
             }
         }
     }
 
     fn write(&self, change: Transaction) {
-        let (store, made) = (self.store.clone(), change_of(&change));
-        let call = async move { store.change(&made).await };
-        self.make(call, move |room, written| {
-            room.with_duties(|duties, now| duties.was_written(&change, written, now));
+        let (store, transaction) = (self.store.clone(), change_of(&change));
+        let call = async move { store.change(&transaction).await };
+        self.spawn_call(call, move |event_loop, written| {
+            event_loop.with_duties(|duties, now| duties.on_written(&change, written, now));
         });
     }
 
-    fn was_written(&mut self, change: &Transaction, written: Result<Stamp, Trouble>, now: Time) {
+    fn on_written(&mut self, change: &Transaction, written: Result<Stamp, Trouble>, now: Time) {
         let keys: Vec<&str> = change.put.iter().map(|(key, _)| key.as_str()).collect();
         match written {
             Ok(at) => {
@@ -147,8 +147,8 @@
                 info!("event=duty-written keys={keys:?} at=- error=\"written by another\"");
                 self.duty.on_written(None, now);
             }
-            Err(trouble) => {
-                warn!("event=duty-not-written keys={keys:?} error={trouble}");
+            Err(error) => {
+                warn!("event=duty-not-written keys={keys:?} error={error}");
                 self.duty.on_failed(now);
             }
         }
@@ -157,24 +157,24 @@
     fn report(&self, report: Report) {
         let (cloud, sent) = (self.cloud.clone(), report.clone());
         let call = async move { cloud.report(&sent).await };
-        self.make(call, move |room, (outcome, words)| {
-            let time = room.true_time();
-            room.with_duties(|duties, now| {
-                duties.was_reported(&report, outcome, &words, time, now);
+        self.spawn_call(call, move |event_loop, (outcome, message)| {
+            let time = event_loop.utc();
+            event_loop.with_duties(|duties, now| {
+                duties.on_reported(&report, outcome, &message, time, now);
             });
         });
     }
 
-    fn was_reported(
+    fn on_reported(
         &mut self,
         report: &Report,
         outcome: Outcome,
-        words: &str,
+        message: &str,
         time: Time,
         now: Time,
     ) {
         info!(
-            "event=duty-report window={} fence={} requests={} accounts={} outcome={outcome:?} words={words:?}",
+            "event=duty-report window={} fence={} requests={} accounts={} outcome={outcome:?} words={message:?}",
             report.window,
             report.fence,
             report.counts.total(),
@@ -210,15 +210,15 @@
 }
 
 fn change_of(change: &Transaction) -> store::Change {
-    let mut made = store::Change::default();
+    let mut transaction = store::Change::default();
     for (key, version) in &change.expect {
-        made = made.expect(Table::Duties, key, *version);
+        transaction = transaction.expect(Table::Duties, key, *version);
     }
     for (key, value) in &change.put {
-        made = made.put(Table::Duties, key, value);
+        transaction = transaction.put(Table::Duties, key, value);
     }
     for key in &change.remove {
-        made = made.remove(Table::Duties, key);
+        transaction = transaction.remove(Table::Duties, key);
     }
-    made
+    transaction
 }
--- a/crates/daemon/src/hosted/event_loop.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop of a hosted entry and what feeds it.
+//! The event loop of a hosted entry and its messages.
 
 use super::answers::Answers;
 use super::client::{self, Client};
@@ -40,72 +40,73 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a stopping entry goes on taking connections: the balancer asks each
-/// second and gives up after two misses. What is taken later might not end in
-/// the time that is left.
-const LINGER: Span = Span::from_millis(2_400);
-/// How long before the process is killed it ends by itself.
-const SPARE: Span = Span::from_millis(500);
-/// How long the store is out of reach before other entries are asked, and how
-/// often they are asked then.
-const ASK_AFTER: Span = Span::from_millis(300);
-const ASK_EVERY: Span = Span::from_millis(500);
-/// How often what was found of moves is looked at: a bad release must be left within 5 s,
-/// and what is told goes over three links at most.
-const TELL_EVERY: Span = Span::from_millis(500);
-/// How long an entry waits for the others to announce themselves when the whole
-/// installation starts for the first time: all start within 0.3 s of each other, and a
-/// second for those that start slowly costs nobody anything yet.
-const ALL_ANNOUNCED: Span = Span::from_millis(1_300);
-/// How often they are asked when they knew nothing newer the last times: all may
-/// have lost the store. A change must be learned of within some 7 s.
-const ASK_SELDOM: Span = Span::from_millis(2_000);
-
-/// The suspension of the machine from which on what is known is asked for anew. A page of the
-/// store is some 20 ms old, and links hold for 0.5 s.
-const SUSPENDED: Span = Span::from_millis(200);
-/// What is known after a suspension is new enough where the store was heard within this
-/// time, by whatever way: answers come each 0.5 s.
-const FRESH: Span = Span::from_millis(700);
-/// How long it is doubted at most: the store answers in some 5 ms, another entry within 0.5 s.
-const DOUBT: Span = Span::from_millis(600);
-
-/// How often the sizes of what an entry keeps are told in the log.
-const STATE_EVERY: Span = Span::from_millis(10_000);
-
-/// How often all tables are asked for at once since the store came back: one that tells another
-/// era with each answer is asked by the pauses of each table.
-const RESTORED: Span = Span::from_millis(1_000);
-
-/// What reaches the loop.
+/// How long a stopping entry still accepts connections: the load balancer checks every second
+/// and stops sending clients after two failures. A request that is accepted later might not end
+/// before the process is killed.
+const DRAIN_PERIOD: Span = Span::from_millis(2_400);
+/// How long before it would be killed the process ends by itself.
+const EXIT_MARGIN: Span = Span::from_millis(500);
+/// How long the store must be unreachable before other entries are asked for tables, and the
+/// interval between these requests.
+const FETCH_AFTER: Span = Span::from_millis(300);
+const FETCH_INTERVAL: Span = Span::from_millis(500);
+/// Interval between release reports: a bad release must be abandoned within 5 s, and reports
+/// cross at most three links.
+const REPORT_INTERVAL: Span = Span::from_millis(500);
+/// How long an entry waits for the addresses of the others when the whole installation starts
+/// for the first time. All entries start within 0.3 s of each other; another second for slow
+/// ones does no harm, since there are no clients yet.
+const FIRST_START_WAIT: Span = Span::from_millis(1_300);
+/// Interval between requests for tables after several brought nothing newer, since all entries
+/// may have lost contact with the store. A change must be known within about 7 s.
+const SLOW_FETCH_INTERVAL: Span = Span::from_millis(2_000);
+
+/// Minimum suspension of the machine after which the tables are polled anew. A page of the
+/// store is about 20 ms old, and links tolerate 0.5 s.
+const MIN_SUSPENSION: Span = Span::from_millis(200);
+/// After a suspension, the tables are trusted again if the last contact with the store,
+/// directly or through other entries, was within this time. Answers arrive every 0.5 s.
+const MAX_AGE: Span = Span::from_millis(700);
+/// Maximum time for which the tables are not trusted after a suspension: the store answers
+/// within about 5 ms, another entry within 0.5 s.
+const MAX_DISTRUST: Span = Span::from_millis(600);
+
+/// Interval between log lines with the sizes of this entry's state.
+const STATE_LOG_INTERVAL: Span = Span::from_millis(10_000);
+
+/// Minimum interval between polls of all tables because the store's era changed. A store that
+/// reports a different era in each answer is polled only by the followers' own pauses.
+const MIN_RESTORE_INTERVAL: Span = Span::from_millis(1_000);
+
+/// A message to the event loop.
 pub enum Message {
-    /// A request and where its answer goes.
-    Ask(Box<Request>, Sender<Part>),
-    /// A caller went away.
+    /// A request of a client and the channel for its response.
+    Request(Box<Request>, Sender<Part>),
+    /// The client of a request disconnected.
     Disconnected(RequestId),
-    /// What an upstream does with a run.
+    /// A part of an upstream's response to a run.
     Reply(Link, Run, Reply),
-    /// What a follower of the store tells.
+    /// The outcome of a poll of a table.
     Store(Table, Outcome),
-    /// What another entry knows.
+    /// Tables from another entry.
     Snapshots(Vec<peer::Snapshot>),
-    /// Something happened on a link to another entry.
+    /// An event on a link to another entry.
     Link(Event),
     /// A link that another entry opened.
     LinkAccepted(Link, Outbox),
-    /// What came of opening a link to an entry.
+    /// The outcome of opening a link to an entry.
     LinkOpened(InstanceId, Link, Result<Outbox, String>),
-    /// A record of a move was written, or not.
+    /// The outcome of writing the record of a roll-out.
     MoveRecorded(String, Result<(), String>),
-    /// Rows that the store had lost were written again, or not.
+    /// The outcome of writing lost rows again.
     RowsRestored(Result<(), String>),
-    /// A record of a request that is held back was written, or not.
+    /// The outcome of writing the record of a quarantined request.
     HoldRecorded(Fingerprint, Result<(), String>),
-    /// Something that only the loop can do.
+    /// A closure that needs access to the event loop's state.
     Execute(Box<dyn FnOnce(&mut EventLoop) + Send>),
 }
 
-/// What the loop holds.
+/// The state of a hosted entry.
 pub struct EventLoop {
     entry: Entry,
     clock: Clock,
@@ -115,15 +116,15 @@
     mover: Mover,
     recorder: Recorder,
     restorer: Restorer,
-    /// What one entry at a time does for all, where the platform asks for it.
+    /// Usage reporting, which one entry at a time does for all, if the platform asks for it.
     duties: Option<Duties>,
     peering: Peering,
     relay: Relay,
-    feed: Followers,
-    caller: Client,
+    followers: Followers,
+    client: Client,
     runs: HashMap<Run, client::Handle>,
-    callers: HashMap<RequestId, Sender<Part>>,
-    /// The callers' names of requests and sessions, for the log.
+    responses: HashMap<RequestId, Sender<Part>>,
+    /// The clients' labels of requests and sessions, for the log.
     labels: HashMap<RequestId, (String, String)>,
     upstreams: HashMap<UpstreamId, Link>,
     addresses: HashMap<Link, SocketAddr>,
@@ -131,41 +132,42 @@
     own: Peer,
     /// The regions of all data halls.
     regions: BTreeMap<Hall, Region>,
-    links_at: Option<SocketAddr>,
+    link_address: Option<SocketAddr>,
     announced: bool,
-    /// Until when the others may announce themselves.
-    starts_until: Option<Time>,
+    /// When this entry stops waiting for the addresses of the others at the first start of an
+    /// installation.
+    first_start_until: Option<Time>,
     store: Store,
     door: Arc<Door>,
     grace: Span,
-    /// Since when the store is out of reach: at the start, until it has answered.
+    /// Since when the store is unreachable, or since the start if it has not answered yet.
     failing_since: Option<Time>,
-    told: Time,
-    /// When the sizes of what is kept were told.
-    sized: Time,
-    asked: Time,
-    /// For how long the machine was suspended, as far as it was dealt with.
+    reported_at: Time,
+    /// When the sizes of this entry's state were last logged.
+    state_logged_at: Time,
+    fetched_at: Time,
+    /// The total suspension of the machine that has been handled.
     suspended: Span,
-    /// When all tables were asked for since the store came back from a copy.
-    restored: Option<Time>,
-    /// When a suspension ended since which what is known has not been heard anew.
-    doubts: Option<Time>,
-    in_vain: u32,
+    /// When all tables were last polled because the store was restored from a backup.
+    restore_polled_at: Option<Time>,
+    /// The end of a suspension since which the tables have not been confirmed.
+    distrusted_since: Option<Time>,
+    vain_fetches: u32,
     shared: Shared,
-    /// The sources that were told of in the log.
-    sources: Vec<String>,
+    /// The sources that were last logged.
+    logged_sources: Vec<String>,
 }
 
-/// Where the links of an entry are taken, and what happens on them.
+/// The listening address for links from other entries, and the channel for link events.
 pub struct Links {
-    /// The address, if links are taken.
+    /// The address, if links are accepted.
     pub address: Option<SocketAddr>,
-    /// Where what happens on links is told.
+    /// The channel for link events.
     pub events: Sender<Event>,
 }
 
 impl EventLoop {
-    /// Creates the loop's state.
+    /// Creates the state of an entry.
     pub fn new(
         options: &options::Hosted,
         settings: &Settings,
@@ -200,15 +202,15 @@
         let duties = Duties::new(settings, shared.incarnation, store.clone(), send);
         decisions.reports_starts = duties.is_some();
         let mut relay = Relay::new(own.clone(), bounds);
-        if let Some(asked) = settings.duties.filter(|_| duties.is_some()) {
-            relay.enable_usage(Tally::new(shared.incarnation, asked.window));
+        if let Some(duty) = settings.duties.filter(|_| duties.is_some()) {
+            relay.enable_usage(Tally::new(shared.incarnation, duty.window));
         }
-        let starts = settings.first_start.then_some(ALL_ANNOUNCED);
+        let starts = settings.first_start.then_some(FIRST_START_WAIT);
         EventLoop {
             entry: Entry::new(decisions),
             suspended: clock.suspended(),
-            restored: None,
-            doubts: None,
+            restore_polled_at: None,
+            distrusted_since: None,
             metrics: Metrics::default(),
             mirror: Mirror::default(),
             answers: Answers::default(),
@@ -218,165 +220,172 @@
             peering: Peering::new(options.link_keys.clone(), settings, links.events),
             relay,
             duties,
-            feed: Followers::start(&store, &shared, &clock),
-            caller: Client::new(shared.send.clone(), clock.clone()),
+            followers: Followers::start(&store, &shared, &clock),
+            client: Client::new(shared.send.clone(), clock.clone()),
             clock,
             runs: HashMap::new(),
-            callers: HashMap::new(),
+            responses: HashMap::new(),
             labels: HashMap::new(),
             upstreams: HashMap::new(),
             addresses: HashMap::new(),
             next_link: 1,
             own,
             regions: settings.regions.clone(),
-            links_at: links.address,
+            link_address: links.address,
             announced: false,
-            starts_until: starts.map(|wait| now + wait),
+            first_start_until: starts.map(|wait| now + wait),
             store,
             door,
             grace: settings.grace,
             failing_since: starts.is_none().then_some(now),
-            told: now,
-            sized: now,
-            asked: now,
-            in_vain: 0,
+            reported_at: now,
+            state_logged_at: now,
+            fetched_at: now,
+            vain_fetches: 0,
             shared,
-            sources: Vec::new(),
+            logged_sources: Vec::new(),
         }
     }
 
-    /// Runs the loop until the process is told to stop and has finished.
+    /// Runs until the process is told to stop and its work has ended.
     pub async fn work(mut self, receive: Receiver<Message>, stop: Arc<AtomicBool>) {
         let mut stopping: Option<Time> = None;
-        let tick = |room: &mut EventLoop| {
-            let now = room.clock.now();
+        let tick = |event_loop: &mut EventLoop| {
+            let now = event_loop.clock.now();
             if stop.load(Ordering::Relaxed) && stopping.is_none() {
                 stopping = Some(now);
-                info!("event=leave in_flight={}", room.entry.in_flight());
-                room.door.close();
-                room.relay.leave();
+                info!("event=leave in_flight={}", event_loop.entry.in_flight());
+                event_loop.door.close();
+                event_loop.relay.leave();
             }
-            if stopping.is_some_and(|since| now.since(since) >= LINGER) && !room.door.is_shut() {
-                info!("event=door-shut in_flight={}", room.entry.in_flight());
-                room.door.shut();
+            if stopping.is_some_and(|since| now.since(since) >= DRAIN_PERIOD)
+                && !event_loop.door.is_shut()
+            {
+                info!("event=door-shut in_flight={}", event_loop.entry.in_flight());
+                event_loop.door.shut();
             }
-            room.tick(stopping.is_some());
-            match stopping.is_some_and(|since| room.is_done(since)) {
+            event_loop.tick(stopping.is_some());
+            match stopping.is_some_and(|since| event_loop.is_done(since)) {
                 true => Next::End,
                 false => Next::Go,
             }
         };
-        turn::run(&mut self, receive, EventLoop::take, tick).await;
+        turn::run(&mut self, receive, EventLoop::handle_message, tick).await;
         info!("event=ended in_flight={}", self.entry.in_flight());
-        // What was answered last still goes out.
+        // Leaves time for the last responses to be sent.
         task::sleep(Duration::from_millis(60)).await;
     }
 
     fn is_done(&self, since: Time) -> bool {
         let waited = self.clock.now().since(since);
-        let idle = self.entry.is_idle() && self.callers.is_empty();
-        (self.door.is_shut() && idle) || waited >= self.grace - SPARE
+        let idle = self.entry.is_idle() && self.responses.is_empty();
+        (self.door.is_shut() && idle) || waited >= self.grace - EXIT_MARGIN
     }
 
-    /// Notices that the machine was suspended, before anything that arrived meanwhile is taken
-    /// in: what has run out of time is ended, waits that stood still are begun anew, and what
-    /// is known is not gone by until it is heard anew.
-    fn wake(&mut self) {
+    /// Detects that the machine was suspended, before messages that arrived in the meantime are
+    /// handled. Ends what has timed out, restarts long polls that stood still and suspends
+    /// trust in the tables until they are confirmed.
+    fn detect_suspension(&mut self) {
         let suspended = self.clock.suspended();
         let span = suspended - self.suspended;
-        if span < SUSPENDED {
+        if span < MIN_SUSPENSION {
             return;
         }
         self.suspended = suspended;
         info!("event=suspended for_ms={}", span.millis());
         let now = self.clock.now();
-        self.doubts = Some(now);
+        self.distrusted_since = Some(now);
         self.handle(Input::Suspended);
         self.handle(Input::Tick);
-        self.caller.forget();
+        self.client.clear_pool();
         self.relay.invalidate(now);
         for table in Table::ALL {
-            self.feed.ask(table);
+            self.followers.poll(table);
         }
     }
 
-    /// Goes by what is known again once it was heard anew, or cannot be.
-    fn trust(&mut self, now: Time) {
-        let Some(since) = self.doubts else {
+    /// Trusts the tables again once they are confirmed, or if that takes too long.
+    fn end_distrust(&mut self, now: Time) {
+        let Some(since) = self.distrusted_since else {
             return;
         };
         let age = self.relay.follow().age(now);
-        if age.is_some_and(|age| age < FRESH) || now.since(since) >= DOUBT {
-            self.doubts = None;
+        if age.is_some_and(|age| age < MAX_AGE) || now.since(since) >= MAX_DISTRUST {
+            self.distrusted_since = None;
             self.handle(Input::Resynced);
         }
     }
 
     fn tick(&mut self, stopping: bool) {
-        self.wake();
+        self.detect_suspension();
         self.handle(Input::Tick);
         let now = self.clock.now();
-        let heard = self.relay.follow().last_sync();
-        let lapsed = self.mirror.tick(now, heard);
-        self.note_all(lapsed, "lapsed");
+        let last_sync = self.relay.follow().last_sync();
+        let expired = self.mirror.tick(now, last_sync);
+        self.apply_updates(expired, "lapsed");
         let ready = self.entry.is_ready() && !stopping;
         if self.shared.set_ready(ready) != ready {
             info!("event=ready ready={ready}");
         }
         self.announce();
-        self.relay(now);
-        self.trust(now);
-        self.ask_others(now);
-        self.tell_of_moves(now);
-        self.tell_of_state(now);
+        self.replicate(now);
+        self.end_distrust(now);
+        self.fetch_tables(now);
+        self.share_reports(now);
+        self.log_state(now);
         self.recorder
             .step(now, &self.mirror, &self.store, &self.shared.send);
-        let reads = self.relay.follow().subscription() == Subscription::All;
-        self.do_duties(reads, now);
-        self.restorer
-            .step(now, reads, &self.mirror, &self.store, &self.shared.send);
+        let reads_store = self.relay.follow().subscription() == Subscription::All;
+        self.run_reporting(reads_store, now);
+        self.restorer.step(
+            now,
+            reads_store,
+            &self.mirror,
+            &self.store,
+            &self.shared.send,
+        );
         for (order, state) in self.entry.propose_moves(now) {
             let proposal = Proposal {
                 order: &order,
                 state,
                 grounds: self.entry.move_grounds(&order.pool),
-                reads,
+                reads_store,
             };
             self.mover
                 .propose(proposal, now, &self.mirror, &self.store, &self.shared.send);
         }
     }
 
-    /// Does what one entry at a time does for all, where it is this one's turn.
-    fn do_duties(&mut self, reads: bool, now: Time) {
-        let is_idle = |duties: &&mut Duties| !reads && duties.is_idle();
+    /// Runs usage reporting, which one entry at a time does for all.
+    fn run_reporting(&mut self, reads_store: bool, now: Time) {
+        let is_idle = |duties: &&mut Duties| !reads_store && duties.is_idle();
         let Some(duties) = self.duties.as_mut().filter(|d| !is_idle(d)) else {
             return;
         };
         let halls = self.relay.follow().halls();
-        let leads = self.relay.follow().primary(now).is_none();
+        let is_hall_leader = self.relay.follow().primary(now).is_none();
         let own = relay::own_epoch(&self.mirror, now);
         let store = self.mirror.store_time(now);
-        let Some(counted) = self.relay.usage() else {
+        let Some(usage) = self.relay.usage() else {
             return;
         };
-        counted.agree(duties.duty().epoch_us());
+        usage.agree(duties.duty().epoch_us());
         if let Some(window) = duties.duty().completed_through() {
-            counted.finished(window);
+            usage.prune_through(window);
         }
-        let around = Context {
-            reads_store: reads,
-            is_hall_leader: leads,
+        let context = Context {
+            reads_store,
+            is_hall_leader,
             halls: &halls,
-            tally: counted.tally(),
-            utc: counted.time(now, store),
+            tally: usage.tally(),
+            utc: usage.time(now, store),
             store_time: store.map(Time),
-            epoch_us: counted.epoch(own),
+            epoch_us: usage.epoch(own),
         };
-        duties.step(&around, now);
+        duties.step(&context, now);
     }
 
-    /// Gives the duties what came of a call.
+    /// Passes the outcome of a call to usage reporting.
     pub fn with_duties(&mut self, with: impl FnOnce(&mut Duties, Time)) {
         let now = self.clock.now();
         if let Some(duties) = &mut self.duties {
@@ -384,27 +393,28 @@
         }
     }
 
-    /// Returns true time, as far as it is known.
-    pub fn true_time(&mut self) -> Time {
+    /// Returns UTC as the data halls agree on it, or this process's own time if that is
+    /// unknown.
+    pub fn utc(&mut self) -> Time {
         let now = self.clock.now();
         let store = self.mirror.store_time(now);
         self.relay.usage().map_or(now, |c| c.time(now, store))
     }
 
-    fn take(&mut self, message: Message) {
-        self.wake();
+    fn handle_message(&mut self, message: Message) {
+        self.detect_suspension();
         match message {
-            Message::Ask(ask, parts) => {
-                if let Payload::Routed(routed) = &ask.payload {
+            Message::Request(request, parts) => {
+                if let Payload::Routed(routed) = &request.payload {
                     let session = routed.session.map_or(String::new(), |s| format!("{s:x}"));
                     let label = (routed.label.clone(), session);
-                    self.labels.insert(ask.request, label);
+                    self.labels.insert(request.request, label);
                 }
-                self.callers.insert(ask.request, parts);
-                self.handle(Input::Request(ask));
+                self.responses.insert(request.request, parts);
+                self.handle(Input::Request(request));
             }
             Message::Disconnected(request) => {
-                self.callers.remove(&request);
+                self.responses.remove(&request);
                 self.handle(Input::Disconnected(request));
             }
             Message::Reply(link, run, reply) => {
@@ -413,36 +423,43 @@
                 }
                 self.handle(Input::Reply(link, run, reply));
             }
-            Message::Store(table, Outcome::Page(Read { page, whole, asked })) => {
+            Message::Store(
+                table,
+                Outcome::Page(Read {
+                    page,
+                    whole,
+                    started,
+                }),
+            ) => {
                 let now = self.clock.now();
-                if self.mirror.observe_era(table, &page, whole, asked, now) == Freshness::Stale {
+                if self.mirror.observe_era(table, &page, whole, started, now) == Freshness::Stale {
                     return;
                 }
-                self.note_restored("store");
-                // An answer may have lain here while the machine was suspended.
-                let told = self.mirror.local_time(page.now.as_micros() as u64);
-                let heard = told
+                self.handle_restore("store");
+                // The answer may have waited in the channel while the machine was suspended.
+                let sent_at = self.mirror.local_time(page.now.as_micros() as u64);
+                let contact = sent_at
                     .filter(|_| !page.now.is_zero())
                     .map_or(now, |at| at.min(now));
-                self.note_reached(table, heard);
-                let news = self.mirror.apply(table, page, whole, now);
-                self.tell_of_ignored();
-                self.note_all(news, "store");
-                self.answers.note(table, now);
-                if table == Table::Own && self.starts_until.is_none() {
+                self.record_answer(table, contact);
+                let updates = self.mirror.apply(table, page, whole, now);
+                self.log_ignored();
+                self.apply_updates(updates, "store");
+                self.answers.record(table, now);
+                if table == Table::Own && self.first_start_until.is_none() {
                     self.relay.listed(now);
                 }
-                let orders = self.relay.publish(&mut self.mirror, now);
-                self.carry_out(orders);
+                let commands = self.relay.publish(&mut self.mirror, now);
+                self.execute_commands(commands);
             }
-            Message::Store(table, Outcome::Failed(trouble)) => {
+            Message::Store(table, Outcome::Failed(error)) => {
                 let now = self.clock.now();
                 if !self.mirror.is_failing(table) {
-                    warn!("event=store-lost table={table:?} error={trouble}");
+                    warn!("event=store-lost table={table:?} error={error}");
                 }
                 self.mirror.mark_failing(table);
-                // Without the list of entries this one is on its own.
-                self.starts_until = None;
+                // Without the list of entries this entry works on its own.
+                self.first_start_until = None;
                 self.relay.listed(now);
                 self.relay.note_failure(table);
                 if table == Table::Operator {
@@ -453,29 +470,29 @@
                 let silent = self.answers.silence_ms(table, self.clock.now());
                 warn!("event=store-forgot table={table:?} known={known} silent_ms={silent}");
             }
-            Message::Snapshots(copies) => self.take_snapshots(copies),
+            Message::Snapshots(copies) => self.apply_snapshots(copies),
             Message::Link(Event::Down(link)) => {
                 self.peering.close(link);
                 self.relay.closed(link, self.clock.now());
             }
             Message::Link(Event::Frames(link, frames)) => {
                 for frame in frames {
-                    self.take_frame(link, frame);
+                    self.handle_frame(link, frame);
                 }
             }
             Message::LinkAccepted(link, outbox) => self.peering.add(link, outbox),
-            Message::LinkOpened(name, link, outbox) => self.opened(name, link, outbox),
-            Message::MoveRecorded(key, result) => self.mover.written(&key, result),
-            Message::RowsRestored(result) => self.restorer.written(result),
+            Message::LinkOpened(name, link, outbox) => self.handle_link_opened(name, link, outbox),
+            Message::MoveRecorded(key, result) => self.mover.on_written(&key, result),
+            Message::RowsRestored(result) => self.restorer.on_written(result),
             Message::HoldRecorded(fingerprint, result) => {
                 let now = self.clock.now();
-                self.recorder.written(fingerprint, result, now);
+                self.recorder.on_written(fingerprint, result, now);
             }
             Message::Execute(with) => with(self),
         }
     }
 
-    fn opened(&mut self, name: InstanceId, link: Link, outbox: Result<Outbox, String>) {
+    fn handle_link_opened(&mut self, name: InstanceId, link: Link, outbox: Result<Outbox, String>) {
         let now = self.clock.now();
         let link = match outbox {
             Ok(outbox) => {
@@ -487,131 +504,136 @@
                 None
             }
         };
-        let orders = self.relay.opened(name, link, &self.mirror, now);
-        self.carry_out(orders);
+        let commands = self.relay.opened(name, link, &self.mirror, now);
+        self.execute_commands(commands);
     }
 
-    fn take_frame(&mut self, link: Link, frame: Frame) {
-        if let Frame::FetchTables(have) = &frame {
-            return self.peering.answer(link, have, &self.mirror);
+    fn handle_frame(&mut self, link: Link, frame: Frame) {
+        if let Frame::FetchTables(cursor) = &frame {
+            return self.peering.answer(link, cursor, &self.mirror);
         }
         let now = self.clock.now();
         let era = self.mirror.era();
-        let (news, orders) = self.relay.handle_frame(link, frame, &mut self.mirror, now);
-        let handed_on = !news.is_empty();
-        // Most frames bring no news, so the name is not copied for them.
-        let is_news = handed_on || self.mirror.era() != era;
-        let source = self.relay.source(link).filter(|_| is_news);
+        let (updates, commands) = self.relay.handle_frame(link, frame, &mut self.mirror, now);
+        let has_updates = !updates.is_empty();
+        // The name is copied only if it is needed, since most frames contain no updates.
+        let needs_name = has_updates || self.mirror.era() != era;
+        let source = self.relay.source(link).filter(|_| needs_name);
         let from = source.map(InstanceId::to_string);
         let from = from.as_deref().unwrap_or("unknown");
-        self.note_restored(from);
-        self.note_all(news, from);
-        self.carry_out(orders);
-        if handed_on {
-            let orders = self.relay.publish(&mut self.mirror, now);
-            self.carry_out(orders);
+        self.handle_restore(from);
+        self.apply_updates(updates, from);
+        self.execute_commands(commands);
+        if has_updates {
+            let commands = self.relay.publish(&mut self.mirror, now);
+            self.execute_commands(commands);
         }
     }
 
-    /// Looks after the links over which the tables come and go.
-    fn relay(&mut self, now: Time) {
-        if self.starts_until.is_some_and(|until| now < until) {
+    /// Runs replication: passes the mirrored versions to the followers, executes due commands
+    /// and logs changes of the sources.
+    fn replicate(&mut self, now: Time) {
+        if self.first_start_until.is_some_and(|until| now < until) {
             return;
         }
-        self.starts_until = None;
+        self.first_start_until = None;
         for table in Table::ALL {
             let known = self.mirror.base(table);
-            self.feed
-                .known(table, known.map(|_| self.mirror.stamp(table)));
+            self.followers
+                .set_mirrored(table, known.map(|_| self.mirror.stamp(table)));
         }
         let wait = self.relay.follow().timeouts().long_poll;
         let before = self.relay.follow().subscription();
-        let orders = self.relay.step(&mut self.mirror, now);
+        let commands = self.relay.step(&mut self.mirror, now);
         let reads_all = self.relay.follow().subscription() == Subscription::All;
-        self.feed.wait_at_most(reads_all.then_some(wait));
-        self.carry_out(orders);
+        self.followers.set_max_wait(reads_all.then_some(wait));
+        self.execute_commands(commands);
         let follow = self.relay.follow();
-        let reading = follow.subscription();
+        let subscription = follow.subscription();
         let sources: Vec<String> = follow.sources(now).iter().map(|s| s.to_string()).collect();
-        if reading == Subscription::Nothing && !sources.is_empty() {
+        if subscription == Subscription::Nothing && !sources.is_empty() {
             self.failing_since = None;
         }
-        if reading != before || sources != self.sources {
+        if subscription != before || sources != self.logged_sources {
             let age = follow.age(now).map_or(-1, |age| age.millis() as i64);
             info!(
-                "event=sources reading={reading:?} before={before:?} sources={sources:?} age_ms={age} takers={}",
+                "event=sources reading={subscription:?} before={before:?} sources={sources:?} age_ms={age} takers={}",
                 self.relay.subscribers()
             );
-            self.sources = sources;
+            self.logged_sources = sources;
         }
     }
 
-    fn carry_out(&mut self, orders: Vec<Command>) {
-        for order in orders {
-            match order {
+    fn execute_commands(&mut self, commands: Vec<Command>) {
+        for command in commands {
+            match command {
                 Command::Open(name, address) => self.peering.open(name, address, &self.shared),
                 Command::Close(link) => self.peering.close(link),
                 Command::Send(link, frame) => self.peering.send(link, frame),
-                Command::Read(reading) => self.feed.read(reading),
-                Command::Poll(table) => self.ask_anew(table),
+                Command::Read(subscription) => self.followers.read(subscription),
+                Command::Poll(table) => self.poll_table(table),
                 Command::Report(pool, hall, report) => {
                     self.handle(Input::ReleaseReport(pool, hall, report))
                 }
-                Command::Prefill(number, reading) => self.handle(Input::Prefill(number, reading)),
-                Command::Affinity(stay) => self.handle(Input::SessionPin(stay)),
-                Command::Quarantine(word) => self.handle(Input::QuarantineUpdate(word)),
-                Command::Notice(word) => self.handle(Input::Notice(word)),
+                Command::Prefill(number, time) => self.handle(Input::Prefill(number, time)),
+                Command::Affinity(affinity) => self.handle(Input::SessionPin(affinity)),
+                Command::Quarantine(update) => self.handle(Input::QuarantineUpdate(update)),
+                Command::Notice(update) => self.handle(Input::Notice(update)),
             }
         }
     }
 
-    /// Asks for a table whose wait tells nothing.
-    fn ask_anew(&mut self, table: Table) {
+    /// Polls a table anew whose long poll yields nothing.
+    fn poll_table(&mut self, table: Table) {
         let silent = self.answers.silence_ms(table, self.clock.now());
         let version = self.mirror.version(table);
         info!("event=asked-anew table={table:?} version={version} silent_ms={silent}");
-        self.feed.ask(table);
+        self.followers.poll(table);
     }
 
-    fn note_reached(&mut self, table: Table, now: Time) {
+    fn record_answer(&mut self, table: Table, now: Time) {
         if self.mirror.is_failing(table) {
             info!("event=store-regained table={table:?}");
         }
         self.relay.note_answer(table, now);
-        // At the start any answer shows that the store is there, and the rest is on its way.
+        // At the start, any answer shows that the store is reachable, and the other tables will
+        // follow.
         if table == Table::Operator || !self.mirror.has_operator_table() {
             self.failing_since = None;
         }
         if table == Table::Operator {
-            self.in_vain = 0;
+            self.vain_fetches = 0;
         }
     }
 
-    fn take_snapshots(&mut self, copies: Vec<peer::Snapshot>) {
+    fn apply_snapshots(&mut self, copies: Vec<peer::Snapshot>) {
         let now = self.clock.now();
         for copy in copies {
             let table = copy.table;
             let before = self.mirror.stamp(table);
-            let (page, kept) = copy.page();
-            let news = self.mirror.apply_copy(table, page, kept, now);
-            self.note_restored("asked");
+            let (page, retained) = copy.page();
+            let updates = self.mirror.apply_copy(table, page, retained, now);
+            self.handle_restore("asked");
             let version = self.mirror.stamp(table);
             if version > before {
-                self.in_vain = 0;
+                self.vain_fetches = 0;
                 info!("event=learned-from-entry table={table:?} version={version} before={before}");
             }
-            self.note_all(news, "asked");
+            self.apply_updates(updates, "asked");
         }
     }
 
-    /// Takes in news; `from` says whom they are from, for the log.
-    fn note_all(&mut self, news: Vec<Update>, from: &str) {
-        let has_entries = news.iter().any(|news| matches!(news, Update::Entry(_)));
-        for news in news {
-            self.note(news, from);
+    /// Handles updates; `from` names their source in the log.
+    fn apply_updates(&mut self, updates: Vec<Update>, from: &str) {
+        let has_entries = updates
+            .iter()
+            .any(|update| matches!(update, Update::Entry(_)));
+        for update in updates {
+            self.apply_update(update, from);
         }
         if has_entries {
-            // Once for all: 300 entries are told of at once where all start.
+            // One input for all of them: when an installation starts, up to 300 entries appear
+            // at once.
             let entries = self.relay.follow().entries().cloned().collect();
             self.handle(Input::Entries(entries));
         }
@@ -621,25 +643,25 @@
                 replaced.table, replaced.after, replaced.before, replaced.retained
             );
         }
-        for held in self.mirror.take_suspects() {
+        for suspects in self.mirror.take_suspects() {
             info!(
                 "event=held upstreams={:?} of={} for_ms={}",
-                held.keys,
-                held.listed,
-                held.grace_period.millis()
+                suspects.keys,
+                suspects.listed,
+                suspects.grace_period.millis()
             );
         }
-        for trouble in self.mirror.take_malformed() {
+        for row in self.mirror.take_malformed() {
             warn!(
                 "event=not-understood table={:?} key={:?} error={:?}",
-                trouble.table, trouble.key, trouble.message
+                row.table, row.key, row.message
             );
         }
     }
 
-    /// Takes in that the store came back from a copy: what is known holds until all tables are
-    /// read whole, and no wait that is under way tells of what comes.
-    fn note_restored(&mut self, from: &str) {
+    /// Handles a restore of the store from a backup. The mirrored tables remain in use until
+    /// all tables have been read as a whole, and pending long polls are useless.
+    fn handle_restore(&mut self, from: &str) {
         let Some(before) = self.mirror.take_restored() else {
             return;
         };
@@ -647,20 +669,22 @@
         let era = self.mirror.era();
         warn!("event=store-era era={era} before={before} from={from}");
         self.relay.invalidate(now);
-        let is_news = self.restored.is_none_or(|at| now.since(at) >= RESTORED);
+        let is_due = self
+            .restore_polled_at
+            .is_none_or(|at| now.since(at) >= MIN_RESTORE_INTERVAL);
         for table in Table::ALL {
-            self.feed.known(table, None);
-            if is_news {
-                self.feed.ask(table);
+            self.followers.set_mirrored(table, None);
+            if is_due {
+                self.followers.poll(table);
             }
         }
-        if is_news {
-            self.restored = Some(now);
+        if is_due {
+            self.restore_polled_at = Some(now);
         }
     }
 
-    /// Tells which answers of the store were ignored.
-    fn tell_of_ignored(&mut self) {
+    /// Logs the pages that were ignored.
+    fn log_ignored(&mut self) {
         for ignored in self.mirror.take_ignored() {
             self.metrics.ignored();
             warn!(
@@ -675,17 +699,18 @@
         }
     }
 
-    /// Returns what a line tells of where news of a table are from: from whom, up to which
-    /// version the table is known, and how long the store had not answered for it here.
+    /// Returns the log fields that describe the origin of an update: its source, the version up
+    /// to which the table is mirrored, and how long the store has not answered this entry for
+    /// it.
     fn origin(&self, table: Table, from: &str) -> String {
         let version = self.mirror.version(table);
         let silent = self.answers.silence_ms(table, self.clock.now());
         format!("from={from} version={version} silent_ms={silent}")
     }
 
-    fn note(&mut self, news: Update, from: &str) {
-        match news {
-            Update::Config(config) => self.adopt(*config, from),
+    fn apply_update(&mut self, update: Update, from: &str) {
+        match update {
+            Update::Config(config) => self.apply_config(*config, from),
             Update::Joined(listed) => self.join(*listed, from),
             Update::Retired(upstream) => {
                 let origin = self.origin(Table::Upstreams, from);
@@ -703,14 +728,14 @@
                 );
                 self.handle(Input::Move(order, state, began));
             }
-            Update::Cold(upstream, left) => {
+            Update::Cold(upstream, remaining) => {
                 let origin = self.origin(Table::Upstreams, from);
                 info!(
                     "event=cold upstream={upstream} for_ms={} {origin}",
-                    left.millis()
+                    remaining.millis()
                 );
                 if let Some(link) = self.upstreams.get(&upstream).copied() {
-                    self.handle(Input::Cold(link, left));
+                    self.handle(Input::Cold(link, remaining));
                 }
             }
             Update::Evacuated(halls) => {
@@ -718,7 +743,7 @@
                 info!("event=evacuate halls={halls:?} {origin}");
                 self.handle(Input::Evacuate(halls));
             }
-            Update::Quarantine(fingerprint, record) => self.hold(fingerprint, record),
+            Update::Quarantine(fingerprint, record) => self.apply_quarantine(fingerprint, record),
             Update::Entry(peer) => {
                 self.peering.add_peer(peer.name.clone(), peer.address);
                 self.relay.learn(peer);
@@ -726,12 +751,12 @@
         }
     }
 
-    /// Takes in what is recorded of a request that crashes upstreams.
-    fn hold(&mut self, fingerprint: Fingerprint, record: Option<Record>) {
+    /// Handles the quarantine record of a request, or its removal.
+    fn apply_quarantine(&mut self, fingerprint: Fingerprint, record: Option<Record>) {
         let Some(record) = record else {
             return self.handle(Input::QuarantineRemoved(fingerprint));
         };
-        // Without the store's clock nothing was ever heard of it, and no record either.
+        // Without the store's clock no row has arrived yet, and no record either.
         if let Some(until) = self.mirror.local_time(record.until_us) {
             let hold = Hold {
                 until,
@@ -742,7 +767,7 @@
         }
     }
 
-    fn adopt(&mut self, config: sorreldeck_platform::Configuration, from: &str) {
+    fn apply_config(&mut self, config: sorreldeck_platform::Configuration, from: &str) {
         let revision = config.tree.revision();
         if revision <= self.entry.tree().revision() && revision > Revision(0) {
             return;
@@ -758,12 +783,12 @@
     }
 
     fn join(&mut self, mut listed: Listed, from: &str) {
-        // Where rows do not tell starts apart the address does: what one start said of itself
-        // must not be taken for another's.
-        let start = &mut listed.member.placement.incarnation;
-        start.get_or_insert_with(|| start_at(listed.address));
-        let place = &mut listed.member.placement;
-        place.region = place
+        // If the row has no incarnation, the address stands for it, so that notices of one
+        // incarnation are not attributed to another.
+        let incarnation = &mut listed.member.placement.incarnation;
+        incarnation.get_or_insert_with(|| incarnation_of(listed.address));
+        let placement = &mut listed.member.placement;
+        placement.region = placement
             .hall
             .as_ref()
             .and_then(|hall| self.regions.get(hall).cloned());
@@ -785,13 +810,13 @@
         self.handle(Input::Join(link, Box::new(listed.member)));
     }
 
-    /// Tells other entries where this one is, once the store can be written.
+    /// Publishes this entry's address once the store can be written.
     fn announce(&mut self) {
-        if self.links_at.is_none() || self.announced {
+        if self.link_address.is_none() || self.announced {
             return;
         }
-        // Where the whole installation starts, no row can be there.
-        if self.mirror.version(Table::Own) == 0 && self.starts_until.is_none() {
+        // At the first start of an installation the table is empty.
+        if self.mirror.version(Table::Own) == 0 && self.first_start_until.is_none() {
             return;
         }
         self.announced = true;
@@ -805,33 +830,34 @@
         task::spawn(async move {
             let change = sorreldeck_platform::store::Change::default();
             let change = change.put(Table::Own, &key, text.as_bytes());
-            if let Err(trouble) = store.change(&change).await {
-                warn!("event=announce-failed error={trouble}");
-                task::sleep(ASK_SELDOM.into()).await;
-                let again = |room: &mut EventLoop| room.announced = false;
-                // The loop ends only with the process.
+            if let Err(error) = store.change(&change).await {
+                warn!("event=announce-failed error={error}");
+                task::sleep(SLOW_FETCH_INTERVAL.into()).await;
+                let again = |event_loop: &mut EventLoop| event_loop.announced = false;
+                // Sending fails only while the process ends, since the event loop runs until
+                // then.
                 let _ = send.send(Message::Execute(Box::new(again))).await;
             }
         });
     }
 
-    /// Tells other entries what was found here of releases on trial.
-    fn tell_of_moves(&mut self, now: Time) {
-        if now.since(self.told) < TELL_EVERY {
+    /// Shares this entry's reports on canary releases with other entries.
+    fn share_reports(&mut self, now: Time) {
+        if now.since(self.reported_at) < REPORT_INTERVAL {
             return;
         }
-        self.told = now;
+        self.reported_at = now;
         for (pool, report) in self.entry.move_reports() {
             self.relay.share_report(pool, report);
         }
     }
 
-    /// Tells the sizes of what this entry keeps.
-    fn tell_of_state(&mut self, now: Time) {
-        if now.since(self.sized) < STATE_EVERY {
+    /// Logs the sizes of this entry's state.
+    fn log_state(&mut self, now: Time) {
+        if now.since(self.state_logged_at) < STATE_LOG_INTERVAL {
             return;
         }
-        self.sized = now;
+        self.state_logged_at = now;
         let rows: usize = Table::ALL
             .iter()
             .map(|t| self.mirror.rows(*t).count())
@@ -847,24 +873,24 @@
         );
     }
 
-    /// Asks another entry while the store is out of reach.
-    fn ask_others(&mut self, now: Time) {
+    /// Asks other entries for tables while the store is unreachable.
+    fn fetch_tables(&mut self, now: Time) {
         let Some(since) = self.failing_since else {
             return;
         };
-        let pause = match self.in_vain {
-            0..=2 => ASK_EVERY,
-            _ => ASK_SELDOM,
+        let pause = match self.vain_fetches {
+            0..=2 => FETCH_INTERVAL,
+            _ => SLOW_FETCH_INTERVAL,
         };
-        if now.since(since) < ASK_AFTER || now.since(self.asked) < pause {
+        if now.since(since) < FETCH_AFTER || now.since(self.fetched_at) < pause {
             return;
         }
-        self.asked = now;
-        self.in_vain += 1;
+        self.fetched_at = now;
+        self.vain_fetches += 1;
         self.peering.request_tables(&self.mirror, &self.shared);
     }
 
-    /// Gives the decisions an input and does what they say.
+    /// Passes an input to the decisions and executes their outputs.
     pub fn handle(&mut self, input: Input) {
         let now = self.clock.now();
         for output in self.entry.handle(now, input) {
@@ -876,53 +902,57 @@
         match output {
             Output::Send(link, Frame::Start(start)) => {
                 let (run, address) = (start.run, self.addresses.get(&link).copied());
-                let handle = self.caller.open(link, address, *start);
+                let handle = self.client.open(link, address, *start);
                 self.runs.insert(run, handle);
             }
             Output::Send(_, Frame::Cancel(run)) => drop(self.runs.remove(&run)),
-            Output::Answer(request, part) => self.answer(request, part),
-            Output::Prefill(number, reading) => self.relay.share_prefill(number, reading),
-            Output::SessionPin(stay) => self.relay.share_affinity(stay, self.clock.now()),
-            Output::QuarantineUpdate(word) => self.relay.share_quarantine(word, self.clock.now()),
-            Output::Notice(word) => self.relay.share_notice(word),
+            Output::Answer(request, part) => self.respond(request, part),
+            Output::Prefill(number, time) => self.relay.share_prefill(number, time),
+            Output::SessionPin(affinity) => self.relay.share_affinity(affinity, self.clock.now()),
+            Output::QuarantineUpdate(update) => {
+                self.relay.share_quarantine(update, self.clock.now())
+            }
+            Output::Notice(update) => self.relay.share_notice(update),
             Output::RequestStarted(account) => {
                 let now = self.clock.now();
                 self.relay.count_request(&account, &self.mirror, now);
             }
-            Output::RecordQuarantine(news) => self.record(news),
+            Output::RecordQuarantine(change) => self.record_quarantine(change),
             Output::RequestEnded(done) => {
                 self.metrics.ended(&done);
-                self.finished(&done);
+                self.log_request(&done);
             }
-            // Nothing else is asked for where upstreams are called directly.
-            other => log::debug!("nothing is done about {other:?}"),
+            // The other outputs do not occur where upstreams are called directly.
+            other => log::debug!("ignoring output {other:?}"),
         }
     }
 
-    /// Has it recorded that a request is held back, or not any more.
-    fn record(&mut self, news: quarantine::Change) {
+    /// Schedules writing or removing the record of a quarantined request.
+    fn record_quarantine(&mut self, change: quarantine::Change) {
         let now = self.clock.now();
-        match news {
+        match change {
             quarantine::Change::Held(fingerprint, hold, _) => {
-                self.recorder.want(fingerprint, Some(hold), now);
+                self.recorder.schedule(fingerprint, Some(hold), now);
+            }
+            quarantine::Change::Freed(fingerprint) => {
+                self.recorder.schedule(fingerprint, None, now)
             }
-            quarantine::Change::Freed(fingerprint) => self.recorder.want(fingerprint, None, now),
         }
     }
 
-    fn answer(&mut self, request: RequestId, part: Part) {
+    fn respond(&mut self, request: RequestId, part: Part) {
         let last = matches!(part, Part::End | Part::Fail(_));
-        if let Some(caller) = self.callers.get(&request) {
-            // A caller that went away is told of by its own message.
-            let _ = caller.try_send(part);
+        if let Some(parts) = self.responses.get(&request) {
+            // If the client disconnected, [`Message::Disconnected`] follows.
+            let _ = parts.try_send(part);
         }
         if last {
-            self.callers.remove(&request);
+            self.responses.remove(&request);
         }
     }
 
-    /// Writes the one line of a request that has ended.
-    fn finished(&mut self, done: &Summary) {
+    /// Logs the one line of a request that has ended.
+    fn log_request(&mut self, done: &Summary) {
         let request = done.request;
         let (label, session) = self.labels.remove(&request).unwrap_or_default();
         let Some(decision) = self.entry.history().get(request) else {
@@ -955,7 +985,7 @@
         );
     }
 
-    /// Returns the figures of this process as text.
+    /// Returns the metrics of this process as text.
     pub fn metrics_text(&mut self) -> String {
         self.metrics.set_promises(self.entry.invariants());
         let now = self.clock.now();
@@ -992,8 +1022,8 @@
     }
 }
 
-/// Returns a number that stands for whatever start of an upstream is at an address.
-fn start_at(address: SocketAddr) -> Incarnation {
+/// Returns a number that identifies the upstream at an address by that address.
+fn incarnation_of(address: SocketAddr) -> Incarnation {
     let host = match address.ip() {
         IpAddr::V4(ip) => u64::from(u32::from(ip)),
         IpAddr::V6(ip) => u128::from(ip) as u64,
--- a/crates/daemon/src/hosted/followers.rs
+++ b/crates/daemon/src/hosted/followers.rs
@@ -1,9 +1,10 @@
-//! Follows the tables of the platform's store.
+//! Tasks that follow the tables of the platform's store.
 //!
-//! Each table is read whole once and followed from there, as far as this entry is to read
-//! it ([`Subscription`]). The operator's table is asked often, which also shows in time that the
-//! store is out of reach, and which version is its newest; the others wait long and begin
-//! anew when it was, or when a change that it named is told of by none of them.
+//! Each table is read as a whole once and then followed by long polls, as far as this entry
+//! reads it ([`Subscription`]). The operator table is polled with short waits. Its answers also
+//! reveal in time that the store is unreachable and which version is the newest. The other
+//! tables are polled with long waits, which restart when the store is reachable again or when
+//! none of them delivered a change that the operator table announced.
 
 use super::event_loop::Message;
 use super::shared::Shared;
@@ -20,85 +21,84 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How long the operator's table is waited on: a configuration must be in force
-/// within 2 s even when a wait hangs on a connection that is dead.
-const WAIT_OPERATOR: Duration = Duration::from_millis(2_500);
-/// How long the other tables are waited on; every call is priced.
-const WAIT_OTHERS: Duration = Duration::from_millis(20_000);
-/// How long after a change the next one is waited for, so that changes that come
-/// one after another cost one call. A leaving upstream must get nothing more after 2 s, a
-/// configuration be in force after 2 s, and a bad release be left sooner.
-const GATHER_UPSTREAMS: Duration = Duration::from_millis(600);
-const GATHER_OPERATOR: Duration = Duration::from_millis(250);
-const GATHER_PROGRESS: Duration = Duration::from_millis(250);
-/// What entries tell one another of a trial comes from all of them at once, and the first of it
-/// comes at once.
-const GATHER_OWN: Duration = Duration::from_millis(1_000);
-/// The pauses after failures: from the first to the most.
-const PAUSE_FIRST: Duration = Duration::from_millis(150);
-const PAUSE_MOST: Duration = Duration::from_millis(600);
-/// The pause of the other tables, which begin anew anyway when the operator's can be read.
-const PAUSE_OTHERS: Duration = Duration::from_millis(2_000);
-/// The pauses of an entry that asks only whether the store is there, since its sources
-/// cannot reach it: within these bounds at random, so that not all ask at once when it
-/// comes back.
-const PAUSE_PROBE: (u64, u64) = (1_500, 2_500);
-
-/// How long after its wait an answer for the operator's table is overdue: one of a slow store takes
-/// some 0.2 s.
+/// Wait of a poll of the operator table: a configuration must take effect within 2 s even if a
+/// poll hangs on a dead connection.
+const OPERATOR_WAIT: Duration = Duration::from_millis(2_500);
+/// Wait of a poll of the other tables; every call is charged for.
+const OTHERS_WAIT: Duration = Duration::from_millis(20_000);
+/// Pause after a change before the next poll, so that consecutive changes cost one call. An
+/// upstream that leaves must get no request after 2 s, a configuration must take effect within
+/// 2 s, and a bad release must be abandoned sooner.
+const UPSTREAMS_PAUSE: Duration = Duration::from_millis(600);
+const OPERATOR_PAUSE: Duration = Duration::from_millis(250);
+const PROGRESS_PAUSE: Duration = Duration::from_millis(250);
+/// Records of a canary are written by all entries at once. The first one is delivered without
+/// this pause.
+const OWN_PAUSE: Duration = Duration::from_millis(1_000);
+/// First and longest pause after failed calls.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(150);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
+/// Pause of the other tables after a failed call; they restart anyway when the operator table
+/// can be read.
+const OTHERS_RETRY_PAUSE: Duration = Duration::from_millis(2_000);
+/// Bounds of the random pause in milliseconds for an entry that only checks whether the store
+/// is reachable because its sources cannot reach it. It is random so that not all entries call
+/// at once when the store recovers.
+const PROBE_PAUSE_MS: (u64, u64) = (1_500, 2_500);
+
+/// Time after the wait at which an answer for the operator table is overdue: a slow store takes
+/// about 0.2 s.
 const OVERDUE: Duration = Duration::from_millis(350);
-/// How long a call besides one that is overdue may take, and the pause before the next.
-const ASK_EVERY: Duration = Duration::from_millis(500);
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+/// Timeout of an additional call when an answer is overdue, and the pause before the next one.
+const EXTRA_CALL_TIMEOUT: Duration = Duration::from_millis(500);
+const EXTRA_CALL_PAUSE: Duration = Duration::from_millis(100);
 
-/// What was read of a table.
+/// The rows that one call returned.
 pub struct Read {
-    /// The rows.
     pub page: Page,
-    /// Whether they are the whole table.
+    /// Whether `page` holds the whole table.
     pub whole: bool,
-    /// When they were asked for.
-    pub asked: Time,
+    /// When the call began.
+    pub started: Time,
 }
 
-/// What a follower tells.
+/// The outcome of a call for a table.
 pub enum Outcome {
-    /// Rows.
+    /// The table or changes of it.
     Page(Read),
     /// The table could not be read.
     Failed(Trouble),
-    /// The changes after the version that was known are forgotten, or it is of another era; the
-    /// table is read whole.
+    /// The store no longer has the changes after this version, or the version is of another
+    /// era; the table will be read as a whole.
     Forgotten(Stamp),
 }
 
-/// What the follower of a table is to do.
+/// What the follower of a table does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    /// Nothing.
+    /// Does not read the table.
     Idle = 0,
-    /// Read the table once.
+    /// Reads the table once.
     Once = 1,
-    /// Follow it.
+    /// Follows the table.
     Follow = 2,
-    /// Follow it, and ask seldom while it cannot be read.
+    /// Follows the table, with long random pauses while it cannot be read.
     Probe = 3,
 }
 
-/// What the loop tells the follower of a table.
+/// Instructions of the event loop to the follower of a table.
 #[derive(Debug, Default)]
 struct Control {
-    task: AtomicU8,
-    /// What is known from wherever, if that is of the era of the store.
-    known: Mutex<Option<Stamp>>,
-    /// How long the operator's table is waited on at most, in microseconds; 0 for as long as
-    /// usual.
+    mode: AtomicU8,
+    /// The version that is mirrored from any source, if it is of the store's current era.
+    mirrored: Mutex<Option<Stamp>>,
+    /// Maximum wait of a poll of the operator table, in microseconds; 0 for the default.
     wait: AtomicU64,
 }
 
 impl Control {
-    fn task(&self) -> Mode {
-        match self.task.load(Ordering::Relaxed) {
+    fn mode(&self) -> Mode {
+        match self.mode.load(Ordering::Relaxed) {
             0 => Mode::Idle,
             1 => Mode::Once,
             2 => Mode::Follow,
@@ -106,51 +106,51 @@
         }
     }
 
-    /// Returns what is known from wherever, if that is of the era of the store.
-    fn known(&self) -> Option<Stamp> {
-        *self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Returns the version that is mirrored from any source, if it is of the store's current
+    /// era.
+    fn mirrored(&self) -> Option<Stamp> {
+        *self.mirrored.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn set_known(&self, known: Option<Stamp>) {
-        *self.known.lock().unwrap_or_else(PoisonError::into_inner) = known;
+    fn set_mirrored(&self, mirrored: Option<Stamp>) {
+        *self.mirrored.lock().unwrap_or_else(PoisonError::into_inner) = mirrored;
     }
 
-    /// Notes that the table was read; where it was to be read once, nothing more is to be
-    /// done, unless the loop wants more already.
-    fn done_once(&self) {
-        let (once, rest) = (Mode::Once as u8, Mode::Idle as u8);
+    /// Ends a single read, unless the event loop has changed the mode in the meantime.
+    fn finish_single_read(&self) {
+        let (once, idle) = (Mode::Once as u8, Mode::Idle as u8);
         let _ = self
-            .task
-            .compare_exchange(once, rest, Ordering::Relaxed, Ordering::Relaxed);
+            .mode
+            .compare_exchange(once, idle, Ordering::Relaxed, Ordering::Relaxed);
     }
 }
 
 /// The followers of all tables.
 pub struct Followers {
-    wanted: Vec<Arc<Control>>,
-    bells: Vec<Sender<()>>,
+    controls: Vec<Arc<Control>>,
+    wakers: Vec<Sender<()>>,
 }
 
 impl Followers {
-    /// Starts the followers, which read nothing yet.
+    /// Starts the followers; they are idle at first.
     pub fn start(store: &Store, shared: &Shared, clock: &Clock) -> Followers {
-        let mut feed = Followers {
-            wanted: Vec::new(),
-            bells: Vec::new(),
+        let mut followers = Followers {
+            controls: Vec::new(),
+            wakers: Vec::new(),
         };
-        let mut rungs = Vec::new();
+        let mut receivers = Vec::new();
         for _ in Table::ALL {
-            let (ring, rung) = async_channel::bounded(1);
-            feed.bells.push(ring);
-            feed.wanted.push(Arc::default());
-            rungs.push(rung);
+            let (wake, woken) = async_channel::bounded(1);
+            followers.wakers.push(wake);
+            followers.controls.push(Arc::default());
+            receivers.push(woken);
         }
-        let others = Table::ALL.iter().zip(&feed.bells);
+        let others = Table::ALL.iter().zip(&followers.wakers);
         let others = others.filter(|(table, _)| **table != Table::Operator);
-        let others: Vec<Sender<()>> = others.map(|(_, bell)| bell.clone()).collect();
-        for (number, rung) in rungs.into_iter().enumerate() {
+        let others: Vec<Sender<()>> = others.map(|(_, waker)| waker.clone()).collect();
+        for (number, woken) in receivers.into_iter().enumerate() {
             let table = Table::ALL[number];
-            let bells = match table {
+            let wakers = match table {
                 Table::Operator => others.clone(),
                 _ => Vec::new(),
             };
@@ -158,96 +158,97 @@
                 store: store.clone(),
                 shared: shared.clone(),
                 table,
-                wanted: feed.wanted[number].clone(),
+                control: followers.controls[number].clone(),
                 clock: clock.clone(),
                 version: None,
-                forgotten: 0,
-                answered: false,
+                times_forgotten: 0,
+                has_answered: false,
                 failures: 0,
             };
-            task::spawn(follower.work(rung, bells));
+            task::spawn(follower.work(woken, wakers));
         }
-        feed
+        followers
     }
 
-    /// Sets how long the operator's table is waited on at most, where all tables are read:
-    /// its answers name the changes that other waits may not have told of.
-    pub fn wait_at_most(&self, wait: Option<Span>) {
+    /// Sets the maximum wait of a poll of the operator table where all tables are read. Its
+    /// answers announce changes that the polls of other tables may have missed.
+    pub fn set_max_wait(&self, wait: Option<Span>) {
         let wait = wait.map_or(0, Span::micros);
-        let wanted = &self.wanted[Table::Operator as usize];
-        wanted.wait.store(wait, Ordering::Relaxed);
+        let control = &self.controls[Table::Operator as usize];
+        control.wait.store(wait, Ordering::Relaxed);
     }
 
-    /// Sets what is read from now on.
-    pub fn read(&self, reading: Subscription) {
+    /// Sets which tables are read.
+    pub fn read(&self, subscription: Subscription) {
         for (number, table) in Table::ALL.iter().enumerate() {
-            let task = match (reading, table) {
+            let mode = match (subscription, table) {
                 (Subscription::All, _) => Mode::Follow,
                 (Subscription::Operator, Table::Operator) => Mode::Probe,
                 (Subscription::Entries, Table::Own) => Mode::Once,
                 _ => Mode::Idle,
             };
-            let wanted = &self.wanted[number];
-            if wanted.task.swap(task as u8, Ordering::Relaxed) != task as u8 {
-                ring(&self.bells[number]);
+            let control = &self.controls[number];
+            if control.mode.swap(mode as u8, Ordering::Relaxed) != mode as u8 {
+                wake(&self.wakers[number]);
             }
         }
     }
 
-    /// Breaks off the wait for a table, and asks for it at once.
-    pub fn ask(&self, table: Table) {
-        ring(&self.bells[table as usize]);
+    /// Aborts the long poll of a table and polls it at once.
+    pub fn poll(&self, table: Table) {
+        wake(&self.wakers[table as usize]);
     }
 
-    /// Notes up to which version a table is known, from wherever, in the era of the store.
-    pub fn known(&self, table: Table, known: Option<Stamp>) {
-        self.wanted[table as usize].set_known(known);
+    /// Sets the version up to which a table is mirrored from any source, if it is of the
+    /// store's current era.
+    pub fn set_mirrored(&self, table: Table, mirrored: Option<Stamp>) {
+        self.controls[table as usize].set_mirrored(mirrored);
     }
 }
 
-/// Lets the follower of a table begin anew.
-fn ring(bell: &Sender<()>) {
-    // A bell that has not been heard yet rings already.
-    let _ = bell.try_send(());
+/// Wakes the follower of a table so that it polls at once.
+fn wake(waker: &Sender<()>) {
+    // If the channel is full, the follower has a pending wake-up already.
+    let _ = waker.try_send(());
 }
 
-/// Returns the pause after so many calls in a row that were in vain.
-fn pause_after(times: u32) -> Duration {
-    PAUSE_MOST.min(PAUSE_FIRST * times.min(4))
+/// Returns the pause after this number of consecutive failures.
+fn pause_after(failures: u32) -> Duration {
+    MAX_RETRY_PAUSE.min(FIRST_RETRY_PAUSE * failures.min(4))
 }
 
-/// Returns a pause at random within the bounds of those that only look.
-fn pause_of_probe() -> Duration {
-    let (least, most) = PAUSE_PROBE;
+/// Returns a random pause within [`PROBE_PAUSE_MS`].
+fn probe_pause() -> Duration {
+    let (least, most) = PROBE_PAUSE_MS;
     let part = u64::from(clock::random::<1>()[0]);
     Duration::from_millis(least + (most - least) * part / 255)
 }
 
-/// Returns how long changes of a table are gathered.
-fn gathering(table: Table) -> Duration {
+/// Returns the pause after a change of a table.
+fn pause_after_change(table: Table) -> Duration {
     match table {
-        Table::Upstreams => GATHER_UPSTREAMS,
-        Table::Operator => GATHER_OPERATOR,
-        Table::Progress => GATHER_PROGRESS,
-        Table::Own | Table::Duties => GATHER_OWN,
+        Table::Upstreams => UPSTREAMS_PAUSE,
+        Table::Operator => OPERATOR_PAUSE,
+        Table::Progress => PROGRESS_PAUSE,
+        Table::Own | Table::Duties => OWN_PAUSE,
     }
 }
 
-/// What a follower does next.
-enum Turn {
-    /// Pass on what was read.
+/// The next step of a follower.
+enum Step {
+    /// Deliver the outcome of a call.
     Read(Result<Read, Trouble>),
-    /// Begin the wait anew.
-    Anew,
-    /// End, as the process does.
+    /// Poll at once.
+    Poll,
+    /// Stop, because the process ends.
     End,
 }
 
-/// Waits for the bell, or for the end of the follower that rings it.
-async fn wait(rung: &Receiver<()>) -> Turn {
-    match rung.recv().await {
-        Ok(()) => Turn::Anew,
-        Err(_) => Turn::End,
+/// Waits until the follower is woken, or until the process ends.
+async fn wait(woken: &Receiver<()>) -> Step {
+    match woken.recv().await {
+        Ok(()) => Step::Poll,
+        Err(_) => Step::End,
     }
 }
 
@@ -255,44 +256,46 @@
     store: Store,
     shared: Shared,
     table: Table,
-    wanted: Arc<Control>,
+    control: Arc<Control>,
     clock: Clock,
-    /// Up to which version the table was read here; `None` where it must be read whole.
+    /// The version up to which this follower has read the table; `None` if it must be read as a
+    /// whole.
     version: Option<Stamp>,
-    /// How often in a row the table had to be read whole.
-    forgotten: u32,
+    /// The number of consecutive times that the store had forgotten the changes.
+    times_forgotten: u32,
     /// Whether the store has answered since the reading began.
-    answered: bool,
+    has_answered: bool,
     failures: u32,
 }
 
 impl Follower {
-    /// Follows the table as long as that is wanted, until the process ends. `rung` begins
-    /// the wait anew; `bells` are rung when the store comes back.
-    async fn work(mut self, rung: Receiver<()>, bells: Vec<Sender<()>>) {
+    /// Follows the table according to its mode until the process ends. `woken` makes it poll at
+    /// once; it wakes `wakers` when the store is reachable again.
+    async fn work(mut self, woken: Receiver<()>, wakers: Vec<Sender<()>>) {
         loop {
-            // The next call asks at once by itself after a bell.
-            while rung.try_recv().is_ok() {
-                self.answered = false;
+            // The next poll has no wait if the follower was woken, so further wake-ups are
+            // redundant.
+            while woken.try_recv().is_ok() {
+                self.has_answered = false;
             }
-            let turn = match self.wanted.task() {
-                Mode::Idle => wait(&rung).await,
+            let step = match self.control.mode() {
+                Mode::Idle => wait(&woken).await,
                 _ => {
-                    let next = async { Turn::Read(self.next().await) };
-                    next.or(wait(&rung)).await
+                    let next = async { Step::Read(self.next().await) };
+                    next.or(wait(&woken)).await
                 }
             };
-            let pause = match turn {
-                Turn::Read(read) => self.tell(read, &bells).await,
-                Turn::Anew => {
-                    if self.answered {
-                        // A wait that told nothing may have hung on a silent connection.
+            let pause = match step {
+                Step::Read(read) => self.deliver(read, &wakers).await,
+                Step::Poll => {
+                    if self.has_answered {
+                        // A poll without an answer may have hung on a silent connection.
                         self.store.reconnect().await;
                     }
-                    self.answered = false;
+                    self.has_answered = false;
                     Some(Duration::ZERO)
                 }
-                Turn::End => None,
+                Step::End => None,
             };
             let Some(pause) = pause else {
                 return;
@@ -300,136 +303,143 @@
             if pause.is_zero() {
                 continue;
             }
-            // A bell ends the pause; the next turn finds that it rang.
-            let paused = async_std::future::timeout(pause, rung.recv()).await;
+            // A wake-up ends the pause and makes the next poll immediate.
+            let paused = async_std::future::timeout(pause, woken.recv()).await;
             match paused {
-                Ok(Ok(())) => self.answered = false,
+                Ok(Ok(())) => self.has_answered = false,
                 Ok(Err(_)) => return,
                 Err(_) => {}
             }
         }
     }
 
-    /// Returns how long to wait after a failure.
+    /// Returns the pause after a failure.
     fn pause(&self) -> Duration {
-        match (self.table, self.wanted.task()) {
-            (Table::Operator, Mode::Probe) => pause_of_probe(),
+        match (self.table, self.control.mode()) {
+            (Table::Operator, Mode::Probe) => probe_pause(),
             (Table::Operator, _) => pause_after(self.failures),
-            // The list of entries is needed to begin.
-            (_, Mode::Once) => PAUSE_FIRST,
-            _ => PAUSE_OTHERS,
+            // The list of entries is needed for the start.
+            (_, Mode::Once) => FIRST_RETRY_PAUSE,
+            _ => OTHERS_RETRY_PAUSE,
         }
     }
 
-    /// Returns how long a change is waited for. The other tables are waited on anew
-    /// when the operator's can be read again.
+    /// Returns the wait of the next poll. The polls of the other tables restart when the
+    /// operator table can be read again.
     fn wait(&self) -> Duration {
-        let handed = Duration::from_micros(self.wanted.wait.load(Ordering::Relaxed));
+        let max_wait = Duration::from_micros(self.control.wait.load(Ordering::Relaxed));
         match self.table {
-            // That nothing has changed must be known at once when the reading begins, and
-            // after a failure.
-            _ if !self.answered => Duration::ZERO,
-            Table::Operator if handed.is_zero() => WAIT_OPERATOR,
-            Table::Operator => handed.min(WAIT_OPERATOR),
-            _ => WAIT_OTHERS,
+            // When the reading begins, and after a failure, even an unchanged table must be
+            // confirmed at once.
+            _ if !self.has_answered => Duration::ZERO,
+            Table::Operator if max_wait.is_zero() => OPERATOR_WAIT,
+            Table::Operator => max_wait.min(OPERATOR_WAIT),
+            _ => OTHERS_WAIT,
         }
     }
 
-    /// Returns the version from which changes are waited for, or `None` where the table is read
-    /// whole.
+    /// Returns the version after which changes are polled, or `None` if the table must be read
+    /// as a whole.
     fn base(&self) -> Option<Stamp> {
-        match self.forgotten {
-            // What was handed on by others may be newer than what was read here.
-            0 => self.version.max(self.wanted.known()),
+        match self.times_forgotten {
+            // Other entries may have delivered a newer version than this follower read.
+            0 => self.version.max(self.control.mirrored()),
             _ => self.version,
         }
     }
 
-    /// Reads what comes next. Where the operator's table is not answered for in time, the
-    /// connection may be dead: it is asked for over others as well, and the first answer
-    /// counts.
+    /// Makes the next call. If the answer for the operator table is overdue, its connection may
+    /// be dead, so it is polled over other connections as well and the first answer counts.
     async fn next(&self) -> Result<Read, Trouble> {
         let wait = self.wait();
         let first = self.call(wait);
-        match (self.table, self.wanted.task()) {
-            (Table::Operator, Mode::Follow) => first.or(self.ask_besides(wait)).await,
+        match (self.table, self.control.mode()) {
+            (Table::Operator, Mode::Follow) => first.or(self.poll_besides(wait)).await,
             _ => first.await,
         }
     }
 
-    /// Asks again and again after a wait that ought to have ended, until an answer comes.
-    async fn ask_besides(&self, wait: Duration) -> Result<Read, Trouble> {
+    /// Polls repeatedly without a wait once a call is overdue, until the store answers.
+    async fn poll_besides(&self, wait: Duration) -> Result<Read, Trouble> {
         task::sleep(wait + OVERDUE).await;
         loop {
-            // Those that are kept beside a dead connection are most likely dead, too.
+            // Other pooled connections are probably dead if one of them is.
             self.store.reconnect().await;
             let call = self.call(Duration::ZERO);
-            let answer = async_std::future::timeout(ASK_EVERY, call).await;
+            let answer = async_std::future::timeout(EXTRA_CALL_TIMEOUT, call).await;
             if let Ok(answer @ (Ok(_) | Err(Trouble::Forgotten))) = answer {
                 return answer;
             }
-            task::sleep(ASK_PAUSE).await;
+            task::sleep(EXTRA_CALL_PAUSE).await;
         }
     }
 
     async fn call(&self, wait: Duration) -> Result<Read, Trouble> {
-        let asked = self.clock.now();
+        let started = self.clock.now();
         let Some(base) = self.base() else {
             let page = self.store.read(self.table).await?;
             let whole = true;
-            return Ok(Read { page, whole, asked });
+            return Ok(Read {
+                page,
+                whole,
+                started,
+            });
         };
         let page = self.store.follow(self.table, base.version, wait).await?;
-        // Versions of another era say nothing about what came after this one.
+        // Versions of another era say nothing about the changes after this one.
         if page.era.is_some_and(|era| era != base.era) {
             return Err(Trouble::Forgotten);
         }
         let whole = false;
-        Ok(Read { page, whole, asked })
+        Ok(Read {
+            page,
+            whole,
+            started,
+        })
     }
 
-    /// Passes on what was read; returns how long to wait then, or `None` where the process
-    /// ends.
-    async fn tell(
+    /// Delivers the outcome of a call. Returns the pause before the next one, or `None` if the
+    /// process ends.
+    async fn deliver(
         &mut self,
-        told: Result<Read, Trouble>,
-        bells: &[Sender<()>],
+        outcome: Result<Read, Trouble>,
+        wakers: &[Sender<()>],
     ) -> Option<Duration> {
-        let gathers = matches!(&told, Ok(read) if !read.whole && !read.page.rows.is_empty());
-        let told = match told {
+        let has_changes = matches!(&outcome, Ok(read) if !read.whole && !read.page.rows.is_empty());
+        let outcome = match outcome {
             Ok(read) => {
                 if !read.whole {
-                    self.forgotten = 0;
+                    self.times_forgotten = 0;
                 }
                 let era = read.page.era.or(self.base().map(|base| base.era));
                 self.version = Some(Stamp::new(era.unwrap_or_default(), read.page.version));
-                self.answered = true;
-                self.wanted.done_once();
+                self.has_answered = true;
+                self.control.finish_single_read();
                 if self.failures > 0 {
                     self.failures = 0;
-                    bells.iter().for_each(ring);
+                    wakers.iter().for_each(wake);
                 }
                 Outcome::Page(read)
             }
             Err(Trouble::Forgotten) => {
-                let known = self.base().unwrap_or_default();
+                let mirrored = self.base().unwrap_or_default();
                 self.version = None;
-                let pause = pause_after(self.forgotten);
-                self.forgotten = self.forgotten.saturating_add(1);
-                let message = Message::Store(self.table, Outcome::Forgotten(known));
+                let pause = pause_after(self.times_forgotten);
+                self.times_forgotten = self.times_forgotten.saturating_add(1);
+                let message = Message::Store(self.table, Outcome::Forgotten(mirrored));
                 self.shared.send.send(message).await.ok()?;
                 return Some(pause);
             }
             Err(trouble) => {
                 self.failures += 1;
-                self.answered = false;
+                self.has_answered = false;
                 Outcome::Failed(trouble)
             }
         };
-        let message = Message::Store(self.table, told);
+        let message = Message::Store(self.table, outcome);
         self.shared.send.send(message).await.ok()?;
         Some(match self.failures {
-            0 if gathers => gathering(self.table),
+            0 if has_changes => pause_after_change(self.table),
             0 => Duration::ZERO,
             _ => self.pause(),
         })
--- a/crates/daemon/src/hosted/frontend.rs
+++ b/crates/daemon/src/hosted/frontend.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests in and gives them their answers.
+//! The frontend: accepts requests of clients and sends the responses.
 
 use super::event_loop::Message;
 use super::shared::Shared;
@@ -21,24 +21,26 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// How long a caller that sent too much may come back after.
-const COME_BACK: Span = Span::from_millis(500);
-/// What is added to the largest head for the request line and our reading.
-const LINE: usize = 8 * 1024;
+/// The `Retry-After` of requests that are refused because no memory is left for their bodies.
+const MEMORY_RETRY_AFTER: Span = Span::from_millis(500);
+/// Bytes that are added to the maximum size of a head, for the request line and the read buffer.
+const HEAD_MARGIN: usize = 8 * 1024;
 
-/// Takes connections until the door is shut.
+/// Accepts connections until the door is shut.
 pub async fn listen(listener: TcpListener, shared: Shared, door: Arc<Door>) {
     let shut = door.clone();
-    take_in(listener, shared, door).or(shut.wait_shut()).await;
+    accept_all(listener, shared, door)
+        .or(shut.wait_shut())
+        .await;
 }
 
-async fn take_in(listener: TcpListener, shared: Shared, door: Arc<Door>) {
+async fn accept_all(listener: TcpListener, shared: Shared, door: Arc<Door>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 task::spawn(connection(stream, shared.clone(), door.clone()));
             }
-            // Out of descriptors, say: the open connections will free some.
+            // For example, no file descriptors are left; connections that close will free some.
             Err(e) => {
                 warn!("event=accept-failed at=door error={e}");
                 task::sleep(Duration::from_millis(20)).await;
@@ -50,7 +52,7 @@
 async fn connection(stream: TcpStream, shared: Shared, door: Arc<Door>) {
     let limits = shared.limits();
     let limits = Limits {
-        head: limits.head.bytes() as usize + LINE,
+        head: limits.head.bytes() as usize + HEAD_MARGIN,
         head_timeout: limits.head_timeout.into(),
         idle_timeout: limits.idle_timeout.into(),
     };
@@ -58,30 +60,30 @@
     h1::serve(stream, door, limits, answer).await;
 }
 
-/// A request under way; dropping it before its answer is whole tells the loop
-/// that the caller went away.
-struct Ticket {
+/// A request in progress. If it is dropped before its response is complete, the event loop
+/// learns that the client disconnected.
+struct DisconnectGuard {
     request: RequestId,
     send: Sender<Message>,
     done: bool,
 }
 
-impl Drop for Ticket {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if !self.done {
-            // The loop ends only with the process.
+            // Sending fails only while the process ends, since the event loop runs until then.
             let _ = self.send.try_send(Message::Disconnected(self.request));
         }
     }
 }
 
-/// Memory set aside for a body.
-struct Reserve {
+/// Memory that is reserved for a request body.
+struct Reservation {
     shared: Shared,
     bytes: usize,
 }
 
-impl Reserve {
+impl Reservation {
     fn grow(&mut self, bytes: usize) -> bool {
         let fits = self.shared.reserve(bytes);
         if fits {
@@ -91,48 +93,50 @@
     }
 }
 
-impl Drop for Reserve {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.shared.release(self.bytes);
     }
 }
 
-async fn answer(request: Request<Incoming>, shared: Shared) -> Response<Parts> {
-    let mut reserve = Reserve {
+async fn answer(request: Request<Incoming>, shared: Shared) -> Response<ResponseBody> {
+    let mut reservation = Reservation {
         shared: shared.clone(),
         bytes: 0,
     };
-    let ask = match read(request, &shared, &mut reserve).await {
-        Ok(ask) => ask,
-        Err(failure) => return refusal(&failure, None),
+    let request = match read(request, &shared, &mut reservation).await {
+        Ok(request) => request,
+        Err(failure) => return error_response(&failure, None),
     };
-    let ticket = Ticket {
-        request: ask.request,
+    let guard = DisconnectGuard {
+        request: request.request,
         send: shared.send.clone(),
         done: false,
     };
     let (send, parts) = async_channel::unbounded();
-    let message = Message::Ask(Box::new(ask), send);
+    let message = Message::Request(Box::new(request), send);
     if shared.send.send(message).await.is_err() {
         let failure = Failure::not_run(Reason::Leaving, "the process is about to end");
-        return refusal(&failure, Some(ticket));
+        return error_response(&failure, Some(guard));
     }
     match parts.recv().await {
-        Ok(Part::Head { status, headers }) => begun(status, headers, parts, ticket, reserve),
-        Ok(Part::Fail(failure)) => refusal(&failure, Some(ticket)),
+        Ok(Part::Head { status, headers }) => {
+            streaming_response(status, headers, parts, guard, reservation)
+        }
+        Ok(Part::Fail(failure)) => error_response(&failure, Some(guard)),
         Ok(Part::Data(_) | Part::End) | Err(_) => {
             let message = "the answer has no beginning";
             let failure = Failure::new(Reason::Invariant, Verdict::MayHaveRun, message);
-            refusal(&failure, Some(ticket))
+            error_response(&failure, Some(guard))
         }
     }
 }
 
-/// Reads a request whole.
+/// Reads a whole request.
 async fn read(
     request: Request<Incoming>,
     shared: &Shared,
-    reserve: &mut Reserve,
+    reservation: &mut Reservation,
 ) -> Result<EntryRequest, Failure> {
     let limits = shared.limits();
     let (head, mut body) = request.into_parts();
@@ -140,9 +144,9 @@
     let asked = call::asked(&headers);
     let host = host_of(&head, &headers);
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
-    let most = limits.body.bytes() as usize;
-    if body.size_hint().lower() as usize > most {
-        return Err(too_large(most));
+    let max_bytes = limits.body.bytes() as usize;
+    if body.size_hint().lower() as usize > max_bytes {
+        return Err(too_large(max_bytes));
     }
     let mut buf = BytesMut::new();
     let idle: Duration = limits.idle_timeout.into();
@@ -156,12 +160,14 @@
         let Ok(data) = frame.map_err(broken)?.into_data() else {
             continue;
         };
-        if buf.len() + data.len() > most {
-            return Err(too_large(most));
+        if buf.len() + data.len() > max_bytes {
+            return Err(too_large(max_bytes));
         }
-        if !reserve.grow(data.len()) {
+        if !reservation.grow(data.len()) {
             let message = "no memory is left for bodies";
-            return Err(Failure::not_run(Reason::Overloaded, message).retry_after(COME_BACK));
+            return Err(
+                Failure::not_run(Reason::Overloaded, message).retry_after(MEMORY_RETRY_AFTER)
+            );
         }
         buf.extend_from_slice(&data);
     }
@@ -193,7 +199,7 @@
     })
 }
 
-/// Returns the host asked for, without the port.
+/// Returns the requested host in lower case, without the port.
 fn host_of(head: &hyper::http::request::Parts, headers: &[Header]) -> String {
     let named = headers.iter().find(|h| h.name == "host");
     let host = match named {
@@ -204,62 +210,62 @@
     host.to_ascii_lowercase()
 }
 
-fn too_large(most: usize) -> Failure {
+fn too_large(max_bytes: usize) -> Failure {
     Failure::not_run(
         Reason::TooLarge,
-        format!("the body is larger than {most} bytes"),
+        format!("the body is larger than {max_bytes} bytes"),
     )
 }
 
-/// Returns the status that tells a failure: one that promises that nothing ran
-/// is given only where that is so.
+/// Returns the status for a failure. A status that promises that nothing ran is used only if
+/// that is so.
 fn status_of(failure: &Failure) -> u16 {
     let status = failure.reason.status();
-    let promises = [408, 421, 429, 503].contains(&status);
+    let promises_not_run = [408, 421, 429, 503].contains(&status);
     match (failure.verdict, failure.reason) {
         (Verdict::NotRun, Reason::TimedOut) => 503,
         (Verdict::NotRun, _) if status >= 500 => 503,
         (Verdict::NotRun, _) => status,
-        (_, _) if promises => 502,
+        (_, _) if promises_not_run => 502,
         _ => status,
     }
 }
 
-fn refusal(failure: &Failure, ticket: Option<Ticket>) -> Response<Parts> {
-    if let Some(mut ticket) = ticket {
-        ticket.done = true;
+fn error_response(failure: &Failure, guard: Option<DisconnectGuard>) -> Response<ResponseBody> {
+    if let Some(mut guard) = guard {
+        guard.done = true;
     }
     let text = Bytes::from(format!("{}\n", failure.reason));
-    let mut response = Response::new(Parts::whole(text));
+    let mut response = Response::new(ResponseBody::whole(text));
     let status = StatusCode::from_u16(status_of(failure));
     *response.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     if let (Verdict::NotRun, Some(after)) = (failure.verdict, failure.retry_after) {
-        put(&mut response, &call::come_back(after));
+        append_header(&mut response, &call::come_back(after));
     }
     response
 }
 
-fn begun(
+fn streaming_response(
     status: u16,
     headers: Vec<Header>,
     parts: Receiver<Part>,
-    ticket: Ticket,
-    reserve: Reserve,
-) -> Response<Parts> {
-    let mut response = Response::new(Parts {
+    guard: DisconnectGuard,
+    reservation: Reservation,
+) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody {
         first: None,
         length: length_of(&headers),
-        rest: Some(Rest {
+        rest: Some(Streamed {
             parts: Box::pin(parts),
-            ticket,
-            given: 0,
-            _reserve: reserve,
+            guard,
+            sent: 0,
+            _reserve: reservation,
         }),
     });
     let status = StatusCode::from_u16(status);
     *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
     for header in &headers {
-        put(&mut response, header);
+        append_header(&mut response, header);
     }
     response
 }
@@ -269,32 +275,32 @@
     length.value.parse().ok()
 }
 
-fn put(response: &mut Response<Parts>, header: &Header) {
+fn append_header(response: &mut Response<ResponseBody>, header: &Header) {
     let name = hyper::header::HeaderName::from_bytes(header.name.as_bytes());
     if let (Ok(name), Some(value)) = (name, h1::value_of(&header.value)) {
         response.headers_mut().append(name, value);
     }
 }
 
-/// The body of an answer.
-struct Parts {
+/// The body of a response.
+struct ResponseBody {
     first: Option<Bytes>,
     length: Option<u64>,
-    rest: Option<Rest>,
+    rest: Option<Streamed>,
 }
 
-struct Rest {
+struct Streamed {
     parts: Pin<Box<Receiver<Part>>>,
-    ticket: Ticket,
-    /// The bytes given so far.
-    given: u64,
-    /// The body of the request may be sent again until the answer is whole.
-    _reserve: Reserve,
+    guard: DisconnectGuard,
+    /// The number of bytes sent so far.
+    sent: u64,
+    /// The request body may be sent to another upstream until the response is complete.
+    _reserve: Reservation,
 }
 
-impl Parts {
-    fn whole(text: Bytes) -> Parts {
-        Parts {
+impl ResponseBody {
+    fn whole(text: Bytes) -> ResponseBody {
+        ResponseBody {
             length: Some(text.len() as u64),
             first: Some(text),
             rest: None,
@@ -302,7 +308,7 @@
     }
 }
 
-impl Body for Parts {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -324,21 +330,21 @@
         };
         match part {
             Some(Part::Data(data)) => {
-                rest.given += data.len() as u64;
-                if this.length.is_some_and(|length| rest.given >= length) {
-                    // What is whole by its length is not asked for its end.
-                    rest.ticket.done = true;
+                rest.sent += data.len() as u64;
+                if this.length.is_some_and(|length| rest.sent >= length) {
+                    // hyper does not poll for the end of a body that is complete by its length.
+                    rest.guard.done = true;
                 }
                 Poll::Ready(Some(Ok(Frame::data(data.into()))))
             }
             Some(Part::End) => {
-                rest.ticket.done = true;
+                rest.guard.done = true;
                 this.rest = None;
                 Poll::Ready(None)
             }
-            // An answer that breaks off must not look whole.
+            // A response that is cut off must not look complete.
             Some(Part::Fail(_) | Part::Head { .. }) | None => {
-                rest.ticket.done = true;
+                rest.guard.done = true;
                 this.rest = None;
                 Poll::Ready(Some(Err(std::io::ErrorKind::ConnectionAborted.into())))
             }
--- a/crates/daemon/src/hosted/holds.rs
+++ b/crates/daemon/src/hosted/holds.rs
@@ -1,8 +1,9 @@
-//! Records in the platform's store which requests are held back, since they crash upstreams.
+//! Records of quarantined requests in the platform's store.
 //!
-//! Entries tell one another at once what crashed where; the record is for those that start
-//! later, were cut off meanwhile, or are on no way over which that is told. Each waits a moment
-//! of its own before it writes, so that mostly one does.
+//! Entries tell one another directly which requests crash upstreams. The records serve entries
+//! that start later, were disconnected at the time or have no link over which the reports
+//! arrive. Each entry delays its write by its own jitter, so that usually only one of them
+//! writes.
 
 use super::event_loop::Message;
 use super::mirror::Mirror;
@@ -16,43 +17,44 @@
 use sorreldeck_platform::{Store, Table};
 use std::collections::BTreeMap;
 
-/// The beginning of the keys of rows that hold these records.
+/// Key prefix of the rows that hold these records.
 pub const HELD_PREFIX: &str = "held/";
-/// How long an entry waits after a write that failed.
-const AGAIN: Span = Span::from_millis(1_000);
-/// How long after its end a record is kept, so that a request that is back then is known.
-const KEPT: Span = Span::from_millis(600_000);
-/// The most records in the store, and the most that are dropped with one write; a write holds
-/// 100 rows at most.
-const MOST: usize = 256;
-const DROPPED: usize = 50;
+/// Pause after a failed write.
+const RETRY_PAUSE: Span = Span::from_millis(1_000);
+/// How long a record is retained after its quarantine ended, so that a request that returns
+/// within this time is recognized.
+const RETENTION: Span = Span::from_millis(600_000);
+/// Maximum number of records in the store, and of those that are removed in one write. A write
+/// holds at most 100 rows.
+const MAX_RECORDS: usize = 256;
+const MAX_REMOVED: usize = 50;
 
-/// A record.
+/// The record of a quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Until when the request is held back, on the store's clock, in microseconds.
+    /// The end of the quarantine on the store's clock, in microseconds.
     pub until_us: u64,
-    /// How often it was held back before.
+    /// How often the request was quarantined before.
     pub before: u32,
-    /// The entry that tries it first when that time has passed.
+    /// The entry that tries the request first after the quarantine.
     pub by: InstanceId,
 }
 
-/// What is to be recorded of a request.
+/// The record that is to be written.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    /// `None` where the record is to go.
+    /// The quarantine, or `None` if the record is to be removed.
     hold: Option<Hold>,
     due: Time,
-    writing: bool,
+    is_writing: bool,
 }
 
 /// Writes the records.
 #[derive(Debug)]
 pub struct Recorder {
     own: InstanceId,
-    offset: Span,
-    wanted: BTreeMap<Fingerprint, Pending>,
+    jitter: Span,
+    pending: BTreeMap<Fingerprint, Pending>,
 }
 
 impl Recorder {
@@ -60,67 +62,67 @@
     pub fn new(instance: &InstanceId) -> Recorder {
         Recorder {
             own: instance.clone(),
-            offset: mover::jitter(instance),
-            wanted: BTreeMap::new(),
+            jitter: mover::jitter(instance),
+            pending: BTreeMap::new(),
         }
     }
 
-    /// Notes that a request is held back, or that it is not any more.
-    pub fn want(&mut self, fingerprint: Fingerprint, hold: Option<Hold>, now: Time) {
+    /// Schedules writing the record of a request, or removing it if `hold` is `None`.
+    pub fn schedule(&mut self, fingerprint: Fingerprint, hold: Option<Hold>, now: Time) {
         let due = match hold {
-            Some(_) => now + self.offset,
+            Some(_) => now + self.jitter,
             None => now,
         };
-        let wanted = Pending {
+        let pending = Pending {
             hold,
             due,
-            writing: false,
+            is_writing: false,
         };
-        self.wanted.insert(fingerprint, wanted);
+        self.pending.insert(fingerprint, pending);
     }
 
-    /// Takes in what came of a write.
-    pub fn written(&mut self, fingerprint: Fingerprint, result: Result<(), String>, now: Time) {
-        if let Err(trouble) = &result {
-            warn!("event=record-failed key={HELD_PREFIX}{fingerprint} error={trouble}");
+    /// Handles the outcome of a write.
+    pub fn on_written(&mut self, fingerprint: Fingerprint, result: Result<(), String>, now: Time) {
+        if let Err(error) = &result {
+            warn!("event=record-failed key={HELD_PREFIX}{fingerprint} error={error}");
         }
-        if let Some(wanted) = self.wanted.get_mut(&fingerprint) {
-            wanted.writing = false;
-            wanted.due = now + AGAIN;
+        if let Some(pending) = self.pending.get_mut(&fingerprint) {
+            pending.is_writing = false;
+            pending.due = now + RETRY_PAUSE;
         }
     }
 
-    /// Writes what is due and not recorded yet.
-    pub fn step(&mut self, now: Time, mirror: &Mirror, store: &Store, tell: &Sender<Message>) {
-        self.wanted.retain(|fingerprint, wanted| {
-            let is_over = wanted.hold.is_some_and(|hold| now >= hold.until);
-            !is_over && !is_recorded(*fingerprint, wanted.hold, mirror)
+    /// Writes the records that are due and not yet in the store.
+    pub fn step(&mut self, now: Time, mirror: &Mirror, store: &Store, messages: &Sender<Message>) {
+        self.pending.retain(|fingerprint, pending| {
+            let has_expired = pending.hold.is_some_and(|hold| now >= hold.until);
+            !has_expired && !is_recorded(*fingerprint, pending.hold, mirror)
         });
-        for (fingerprint, wanted) in &mut self.wanted {
-            if wanted.writing || now < wanted.due {
+        for (fingerprint, pending) in &mut self.pending {
+            if pending.is_writing || now < pending.due {
                 continue;
             }
-            let change = change_of(*fingerprint, wanted.hold, &self.own, now, mirror);
+            let change = change_of(*fingerprint, pending.hold, &self.own, now, mirror);
             let Some(change) = change else {
                 continue;
             };
-            wanted.writing = true;
+            pending.is_writing = true;
             info!(
                 "event=record key={HELD_PREFIX}{fingerprint} held={}",
-                wanted.hold.is_some()
+                pending.hold.is_some()
             );
             let fingerprint = *fingerprint;
             let message = move |result| Message::HoldRecorded(fingerprint, result);
-            mover::write(change, store, tell, message);
+            mover::write(change, store, messages, message);
         }
     }
 }
 
-/// Reads a record.
+/// Decodes a record.
 ///
 /// # Errors
 ///
-/// Fails when the row is no record.
+/// Fails if the value is not a valid record.
 pub fn decode(value: &[u8]) -> sorreldeck::Result<Record> {
     serde_json::from_slice(value).map_err(|e| {
         let message = format!("invalid record of a quarantined request: {e}");
@@ -142,8 +144,9 @@
     }
 }
 
-/// Returns the change that records a request, or drops its record, with records that ended
-/// long ago; `None` where the store's clock is not known or there is no room.
+/// Returns the change that writes or removes the record of a request. Writing one also removes
+/// records that expired. Returns `None` if the store's clock is unknown or the maximum number
+/// of records is reached.
 fn change_of(
     fingerprint: Fingerprint,
     hold: Option<Hold>,
@@ -157,10 +160,10 @@
     let Some(hold) = hold else {
         return Some(change.remove(Table::Own, &key));
     };
-    let held = mirror
+    let records = mirror
         .rows(Table::Own)
         .filter(|r| r.key.starts_with(HELD_PREFIX));
-    if version == 0 && held.count() >= MOST {
+    if version == 0 && records.count() >= MAX_RECORDS {
         return None;
     }
     let record = Record {
@@ -170,21 +173,24 @@
     };
     let buf = serde_json::to_vec(&record).expect("a record is always JSON");
     let change = change.put(Table::Own, &key, &buf);
-    let dropped = ended(now, mirror).into_iter();
-    Some(dropped.fold(change, |change, key| change.remove(Table::Own, &key)))
+    let expired = expired_keys(now, mirror).into_iter();
+    Some(expired.fold(change, |change, key| change.remove(Table::Own, &key)))
 }
 
-/// Returns the keys of records that ended long ago, or cannot be read.
-fn ended(now: Time, mirror: &Mirror) -> Vec<String> {
+/// Returns the keys of records that expired or cannot be decoded.
+fn expired_keys(now: Time, mirror: &Mirror) -> Vec<String> {
     let rows = mirror
         .rows(Table::Own)
         .filter(|r| r.key.starts_with(HELD_PREFIX));
-    let is_over = |value: &[u8]| {
+    let has_expired = |value: &[u8]| {
         let until = decode(value)
             .ok()
             .and_then(|r| mirror.local_time(r.until_us));
-        until.is_none_or(|until| now >= until + KEPT)
+        until.is_none_or(|until| now >= until + RETENTION)
     };
-    let over = rows.filter(|row| row.value.as_deref().is_none_or(is_over));
-    over.take(DROPPED).map(|row| row.key.clone()).collect()
+    let expired = rows.filter(|row| row.value.as_deref().is_none_or(has_expired));
+    expired
+        .take(MAX_REMOVED)
+        .map(|row| row.key.clone())
+        .collect()
 }
--- a/crates/daemon/src/hosted/log.rs
+++ b/crates/daemon/src/hosted/log.rs
@@ -1,7 +1,7 @@
-//! Log lines on standard output, bounded and never waited for.
+//! Non-blocking log on standard output with bounded memory and rate.
 //!
-//! A thread of its own writes them; what comes while it is behind is counted
-//! and dropped, and the count is written when it has caught up.
+//! A separate thread writes the lines. Lines that exceed the limits are dropped, and their
+//! number is written with the next line.
 
 use logforth::append::Append;
 use logforth::layout::{JsonLayout, Layout};
@@ -13,10 +13,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// The lines that may wait to be written.
-const WAITING: usize = 1024;
-/// The lines a second, on average, and how many more at once: some three for
-/// each request of a busy entry.
+/// Maximum number of lines that wait to be written.
+const MAX_QUEUED: usize = 1024;
+/// Lines per second on average, and in a burst: about three for each request of a busy entry.
 const RATE: f64 = 300.0;
 const BURST: f64 = 900.0;
 
@@ -41,10 +40,10 @@
 
 impl Bounded {
     fn start() -> Bounded {
-        let (lines, inbox) = sync_channel(WAITING);
+        let (lines, queue) = sync_channel(MAX_QUEUED);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
-        std::thread::spawn(move || write(&inbox, &counted));
+        let dropped_count = dropped.clone();
+        std::thread::spawn(move || write(&queue, &dropped_count));
         Bounded {
             layout: JsonLayout::default(),
             lines,
@@ -81,16 +80,16 @@
     }
 }
 
-fn write(inbox: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
+fn write(queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut out = std::io::stdout();
-    while let Ok(mut line) = inbox.recv() {
+    while let Ok(mut line) = queue.recv() {
         line.push(b'\n');
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            line.extend_from_slice(format!("{{\"dropped_lines\":{lost}}}\n").as_bytes());
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
+            line.extend_from_slice(format!("{{\"dropped_lines\":{dropped_lines}}}\n").as_bytes());
         }
         if out.write_all(&line).is_err() {
-            // Nobody reads: there is nowhere left to say so.
+            // Standard output is closed, so there is no place left to report this.
             return;
         }
     }
--- a/crates/daemon/src/hosted/mod.rs
+++ b/crates/daemon/src/hosted/mod.rs
@@ -1,10 +1,10 @@
-//! The hosted role: an entry that calls upstreams itself, on a platform that
-//! runs the instances and keeps what must last.
+//! The hosted role: an entry that calls upstreams itself, on a platform that runs the instances
+//! and has a durable store.
 //!
-//! The decisions are those of every entry ([`sorreldeck::entry`]). Around them
-//! stand the door for callers, one driver for each run at an upstream, the
-//! followers of the platform's store, and links to other hosted entries, which
-//! are asked when the store is out of reach. One loop holds the state.
+//! All entries share the same decision logic ([`sorreldeck::entry`]). This module adds the
+//! frontend for clients, one task per run at an upstream, tasks that follow the platform's
+//! store, and links to other hosted entries, which are asked for the tables when the store is
+//! unreachable. One event loop owns the state.
 
 mod answers;
 mod client;
@@ -52,22 +52,21 @@
 
 /// A running hosted entry.
 pub struct Running {
-    /// The address for callers.
+    /// The address for clients.
     pub callers: SocketAddr,
-    /// The address that tells whether callers may come.
+    /// The address of the readiness check.
     pub ready: SocketAddr,
-    /// The address for links from other entries.
+    /// The address for links from other entries, if there is one.
     pub links: Option<SocketAddr>,
-    /// The planned stop.
+    /// Stops the entry.
     pub stop: Stop,
 }
 
-/// Runs a hosted entry until it is told to stop by SIGTERM or SIGINT.
+/// Runs a hosted entry until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails when the settings are not understood or an address cannot be listened
-/// on.
+/// Fails if the settings are invalid or an address cannot be listened on.
 pub async fn run(options: options::Hosted) -> Result<()> {
     let path = options
         .settings
@@ -86,20 +85,20 @@
     Ok(())
 }
 
-/// How often the flag of SIGHUP is looked at.
+/// Interval at which the SIGHUP flag is checked.
 const RELOAD_EVERY: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// Reads the settings again when told to. What they hold is fixed for the life
-/// of a process, so a change is only told.
+/// Reads the settings again on SIGHUP. They are fixed for the lifetime of a process, so a
+/// change is only logged.
 async fn watch_settings(path: std::path::PathBuf, known: Settings, reload: Arc<AtomicBool>) {
     loop {
         task::sleep(RELOAD_EVERY).await;
         if !reload.swap(false, std::sync::atomic::Ordering::Relaxed) {
             continue;
         }
-        let read = std::fs::read_to_string(&path);
-        let read = read.map_err(|e| e.to_string());
-        match read.and_then(|text| Settings::from_json(&text).map_err(|e| e.to_string())) {
+        let result = std::fs::read_to_string(&path);
+        let result = result.map_err(|e| e.to_string());
+        match result.and_then(|text| Settings::from_json(&text).map_err(|e| e.to_string())) {
             Ok(settings) => info!("event=reload changed={}", settings != known),
             Err(e) => ::log::error!("event=reload error={e:?}"),
         }
@@ -110,7 +109,7 @@
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be listened on.
+/// Fails if an address cannot be listened on.
 pub async fn start(
     options: options::Hosted,
     settings: Settings,
@@ -136,8 +135,8 @@
         let metrics = TcpListener::bind((settings.ip, port)).await?;
         task::spawn(http::serve(metrics, web::metrics(shared.clone())));
     }
-    let (events, happened) = async_channel::unbounded();
-    task::spawn(peer::forward_events(happened, shared.clone()));
+    let (events, link_events) = async_channel::unbounded();
+    task::spawn(peer::forward_events(link_events, shared.clone()));
     let mut links_at = None;
     if let Some(links) = settings.links {
         let links = TcpListener::bind(links).await?;
--- a/crates/daemon/src/hosted/mover.rs
+++ b/crates/daemon/src/hosted/mover.rs
@@ -1,8 +1,8 @@
-//! Writes the records of moves to other releases.
+//! Writes the records of roll-outs.
 //!
-//! Any entry may write; the row's version is the condition, so of several that
-//! try at once one succeeds. Each waits a moment of its own first, so that
-//! mostly one tries.
+//! Any entry may write a record. The write is conditional on the version of the row, so only
+//! one of several concurrent writers succeeds. Each entry delays its write by its own jitter,
+//! so that usually only one tries.
 
 use super::event_loop::Message;
 use super::mirror::Mirror;
@@ -15,94 +15,94 @@
 use sorreldeck_platform::{release, Store, Table};
 use std::collections::HashMap;
 
-/// The most that an entry waits before it writes.
-const SPREAD: Span = Span::from_millis(300);
-/// How much longer an entry waits that does not read the store: those that do write first,
-/// and what they wrote is heard meanwhile.
-const BEHIND: Span = Span::from_millis(500);
-/// How long an entry waits after it has written, for the feed to bring it.
-const AGAIN: Span = Span::from_millis(700);
+/// Maximum jitter of an entry's writes.
+const MAX_JITTER: Span = Span::from_millis(300);
+/// Additional delay of entries that do not read the store. Those that do write first, and the
+/// others see the result during this delay.
+const NON_READER_DELAY: Span = Span::from_millis(500);
+/// Pause after a write, until the follower of the table delivers the row.
+const RETRY_PAUSE: Span = Span::from_millis(700);
 
-/// How much longer an entry waits before it begins a move whose release a record names: the
-/// order may have been written again after a loss, and whoever knows that writes the record
-/// again.
-const RECORDED: Span = Span::from_millis(1_000);
+/// Additional delay before an entry records the start of a roll-out to a release that an
+/// existing record names. The order may have been written again after a loss; an entry that
+/// knows this writes the earlier record again.
+const RECORDED_DELAY: Span = Span::from_millis(1_000);
 
-/// Writes the records of moves.
+/// Writes the records of roll-outs.
 #[derive(Debug)]
 pub struct Mover {
-    offset: Span,
-    wanted: HashMap<String, Pending>,
+    jitter: Span,
+    pending: HashMap<String, Pending>,
 }
 
-/// What ought to be recorded.
+/// A state that is to be recorded.
 #[derive(Clone, Copy, Debug)]
 pub struct Proposal<'a> {
-    /// The order.
+    /// The roll-out order.
     pub order: &'a Order,
-    /// The state that ought to be recorded.
+    /// The state.
     pub state: State,
-    /// What the move is judged by, for the log.
+    /// The grounds for the state, for the log.
     pub grounds: Totals,
     /// Whether this entry reads the store.
-    pub reads: bool,
+    pub reads_store: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     state: State,
     due: Time,
-    writing: bool,
+    is_writing: bool,
 }
 
 impl Mover {
     /// Creates the writer of an instance.
     pub fn new(instance: &InstanceId) -> Mover {
         Mover {
-            offset: jitter(instance),
-            wanted: HashMap::new(),
+            jitter: jitter(instance),
+            pending: HashMap::new(),
         }
     }
 
-    /// Writes a record when this entry's moment has come.
+    /// Writes a record once this entry's delay has passed.
     pub fn propose(
         &mut self,
         proposal: Proposal,
         now: Time,
         mirror: &Mirror,
         store: &Store,
-        tell: &Sender<Message>,
+        messages: &Sender<Message>,
     ) {
         let Proposal { order, state, .. } = proposal;
         let Some(key) = key_of(order, mirror) else {
             return;
         };
-        let behind = behind(proposal.reads);
+        let reader_delay = reader_delay(proposal.reads_store);
         let recorded = mirror.recorded_state(&key);
         let names_release = recorded.is_some_and(|(to, _)| to == order.to);
-        // A release that is bad must be stopped at once everywhere.
+        // A bad release must be stopped everywhere without delay.
         let wait = match state {
-            State::RolledBack => behind,
-            State::Running if names_release => self.offset + behind + RECORDED,
-            _ => self.offset + behind,
+            State::RolledBack => reader_delay,
+            State::Running if names_release => self.jitter + reader_delay + RECORDED_DELAY,
+            _ => self.jitter + reader_delay,
         };
-        let fresh = Pending {
+        let new = Pending {
             state,
             due: now + wait,
-            writing: false,
+            is_writing: false,
         };
-        let wanted = self.wanted.entry(key.clone()).or_insert(fresh);
-        if wanted.state != state {
-            *wanted = fresh;
+        let pending = self.pending.entry(key.clone()).or_insert(new);
+        if pending.state != state {
+            *pending = new;
         }
-        if wanted.writing || now < wanted.due {
+        if pending.is_writing || now < pending.due {
             return;
         }
         let Some(change) = change_of(&key, state, now, mirror) else {
             return;
         };
-        wanted.writing = true;
-        wanted.due = now + AGAIN;
+        pending.is_writing = true;
+        pending.due = now + RETRY_PAUSE;
         info!(
             "event=record pool={} to={} state={state:?} row_version={} {}",
             order.pool,
@@ -110,71 +110,72 @@
             mirror.row_version(Table::Progress, &key),
             proposal.grounds
         );
-        write(change, store, tell, |result| {
+        write(change, store, messages, |result| {
             Message::MoveRecorded(key, result)
         });
     }
 
-    /// Takes in what came of a write; the row itself comes with the feed.
-    pub fn written(&mut self, key: &str, result: Result<(), String>) {
-        if let Err(trouble) = result {
-            warn!("event=record-failed key={key} error={trouble}");
+    /// Handles the outcome of a write; the row itself arrives through the follower of the
+    /// table.
+    pub fn on_written(&mut self, key: &str, result: Result<(), String>) {
+        if let Err(error) = result {
+            warn!("event=record-failed key={key} error={error}");
         }
-        if let Some(wanted) = self.wanted.get_mut(key) {
-            wanted.writing = false;
+        if let Some(pending) = self.pending.get_mut(key) {
+            pending.is_writing = false;
         }
     }
 }
 
-/// Writes a change; `message` makes of what came of it what the loop is told.
+/// Writes a change in a task of its own and sends the outcome to the event loop as a `message`.
 pub fn write(
     change: Change,
     store: &Store,
-    tell: &Sender<Message>,
+    messages: &Sender<Message>,
     message: impl FnOnce(Result<(), String>) -> Message + Send + 'static,
 ) {
-    let (store, tell) = (store.clone(), tell.clone());
+    let (store, messages) = (store.clone(), messages.clone());
     task::spawn(async move {
         let written = store.change(&change).await;
-        let result = written.map(drop).map_err(|trouble| trouble.to_string());
-        // The loop ends only with the process.
-        let _ = tell.send(message(result)).await;
+        let result = written.map(drop).map_err(|error| error.to_string());
+        // Sending fails only while the process ends, since the event loop runs until then.
+        let _ = messages.send(message(result)).await;
     });
 }
 
-/// Returns how much longer an entry waits than its own moment, by whether it reads the store.
-pub fn behind(reads: bool) -> Span {
-    match reads {
+/// Returns the additional delay of an entry's writes, by whether it reads the store.
+pub fn reader_delay(reads_store: bool) -> Span {
+    match reads_store {
         true => Span::default(),
-        false => BEHIND,
+        false => NON_READER_DELAY,
     }
 }
 
-/// Returns how long an instance waits before it writes what others may write as well.
+/// Returns the delay of an instance's writes that others may make as well.
 pub fn jitter(instance: &InstanceId) -> Span {
     let hash = sorreldeck::tree::hash_key(instance.as_str());
     let number = u64::from_str_radix(&hash[..8], 16).unwrap_or(0);
-    Span::from_micros(number * SPREAD.micros() / u64::from(u32::MAX))
+    Span::from_micros(number * MAX_JITTER.micros() / u64::from(u32::MAX))
 }
 
 /// Returns the key of the row that holds an order.
 fn key_of(order: &Order, mirror: &Mirror) -> Option<String> {
     let mut rows = mirror.rows(Table::Operator);
-    let asks_for = |row: &&Row| {
+    let holds_order = |row: &&Row| {
         let value = row.value.as_deref().filter(|_| row.key.starts_with(MOVE));
         let read = value.map(|buf| release::decode(buf, order.issued));
         read.is_some_and(|read| read.is_ok_and(|read| read == *order))
     };
-    Some(rows.find(asks_for)?.key.clone())
+    Some(rows.find(holds_order)?.key.clone())
 }
 
-/// Returns the change that records a state. The first record of a move says
-/// when it was made, on the store's clock.
+/// Returns the change that records a state. The first record of a roll-out also stores its
+/// start time on the store's clock.
 fn change_of(key: &str, state: State, now: Time, mirror: &Mirror) -> Option<Change> {
     let row = mirror.row(Table::Operator, key)?;
     let buf = release::encode_for(row.value.as_deref()?, state)?;
     let version = mirror.row_version(Table::Progress, key);
-    // Versions are given out again: that of one row may be right by chance.
+    // Versions are reused after a restore, so the version of a single row may match by chance.
     let order = mirror.row_version(Table::Operator, key);
     let change = Change::default()
         .expect(Table::Operator, key, order)
@@ -182,8 +183,8 @@
         .put(Table::Progress, key, &buf);
     match state {
         State::Running => {
-            let began = mirror.store_time(now)?.to_string();
-            Some(change.put(Table::Own, key, began.as_bytes()))
+            let started_at = mirror.store_time(now)?.to_string();
+            Some(change.put(Table::Own, key, started_at.as_bytes()))
         }
         _ => Some(change),
     }
--- a/crates/daemon/src/hosted/relay.rs
+++ b/crates/daemon/src/hosted/relay.rs
@@ -157,7 +157,7 @@
     /// Counts a request of a client account that began to run.
     pub fn count_request(&mut self, account: &AccountId, mirror: &Mirror, now: Time) {
         if let Some(usage) = &mut self.usage {
-            usage.began(account, now, mirror.store_time(now));
+            usage.record(account, now, mirror.store_time(now));
         }
     }
 
--- a/crates/daemon/src/hosted/restorer.rs
+++ b/crates/daemon/src/hosted/restorer.rs
@@ -1,8 +1,9 @@
-//! Writes again what entries had recorded and the store lost when it came back from a copy.
+//! Writes the records of entries again that the store lost when it was restored from a backup.
 //!
-//! Any entry may write; the version of the row in the store is the condition, so of several
-//! that try at once one succeeds. Those that read the store write first, and what they wrote is
-//! heard by the others meanwhile. Where an entry is, it alone writes.
+//! Any entry may write a record. The write is conditional on the version of the row in the
+//! store, so only one of several concurrent writers succeeds. Entries that read the store write
+//! first, and the others see the result before their delay has passed. The row with an entry's
+//! address is written only by that entry.
 
 use super::event_loop::Message;
 use super::mirror::{Mirror, Rewrite, ENTRY_PREFIX};
@@ -14,22 +15,22 @@
 use sorreldeck_platform::{Store, Table};
 use std::collections::BTreeMap;
 
-/// How long an entry waits after it has written, for the feed to bring it.
-const AGAIN: Span = Span::from_millis(1_000);
-/// How many times the usual spread entries take that all write a row of their own: 300 at once are
-/// most of the calls that the store takes in a second.
-const OWN_SPREAD: u64 = 5;
-/// The most rows of one call, which may hold 100 conditions and changes.
-const MOST: usize = 50;
+/// Pause after a write, until the follower of the table delivers the row.
+const RETRY_PAUSE: Span = Span::from_millis(1_000);
+/// Factor on the usual jitter for the rows that every entry writes itself: 300 writes at once
+/// would take most of the calls that the store accepts per second.
+const OWN_JITTER_FACTOR: u64 = 5;
+/// Maximum number of rows in one call, which may hold 100 conditions and changes.
+const MAX_ROWS: usize = 50;
 
-/// Writes what was lost again.
+/// Writes lost rows again.
 #[derive(Debug)]
 pub struct Restorer {
-    /// The key under which this entry tells where it is.
+    /// The key under which this entry publishes its address.
     own: String,
-    offset: Span,
+    jitter: Span,
     due: BTreeMap<(Table, String), Time>,
-    writing: bool,
+    is_writing: bool,
 }
 
 impl Restorer {
@@ -37,74 +38,75 @@
     pub fn new(instance: &InstanceId) -> Restorer {
         Restorer {
             own: format!("{ENTRY_PREFIX}{instance}"),
-            offset: mover::jitter(instance),
+            jitter: mover::jitter(instance),
             due: BTreeMap::new(),
-            writing: false,
+            is_writing: false,
         }
     }
 
-    /// Writes what is due; `reads` says whether this entry reads the store.
+    /// Writes the rows that are due. `reads_store` says whether this entry reads the store.
     pub fn step(
         &mut self,
         now: Time,
-        reads: bool,
+        reads_store: bool,
         mirror: &Mirror,
         store: &Store,
-        tell: &Sender<Message>,
+        messages: &Sender<Message>,
     ) {
         let lost = mirror.lost_rows(&self.own, now);
-        self.plan(&lost, now, reads);
-        if self.writing || lost.is_empty() {
+        self.plan(&lost, now, reads_store);
+        if self.is_writing || lost.is_empty() {
             return;
         }
-        let is_due = |again: &&Rewrite| {
-            let due = self.due.get(&(again.table, again.key.clone()));
+        let is_due = |rewrite: &&Rewrite| {
+            let due = self.due.get(&(rewrite.table, rewrite.key.clone()));
             due.is_some_and(|due| now >= *due)
         };
-        let due: Vec<&Rewrite> = lost.iter().filter(is_due).take(MOST).collect();
+        let due: Vec<&Rewrite> = lost.iter().filter(is_due).take(MAX_ROWS).collect();
         if due.is_empty() {
             return;
         }
-        for again in &due {
+        for rewrite in &due {
             info!(
                 "event=written-again table={:?} key={:?} row_version={}",
-                again.table, again.key, again.version
+                rewrite.table, rewrite.key, rewrite.version
             );
-            let place = (again.table, again.key.clone());
-            self.due.insert(place, now + AGAIN);
+            let place = (rewrite.table, rewrite.key.clone());
+            self.due.insert(place, now + RETRY_PAUSE);
         }
-        self.writing = true;
-        let change = due.into_iter().fold(Change::default(), add);
-        mover::write(change, store, tell, Message::RowsRestored);
+        self.is_writing = true;
+        let change = due.into_iter().fold(Change::default(), add_row);
+        mover::write(change, store, messages, Message::RowsRestored);
     }
 
-    /// Takes in what came of a write; the rows themselves come with the feed.
-    pub fn written(&mut self, result: Result<(), String>) {
-        self.writing = false;
-        if let Err(trouble) = result {
-            warn!("event=record-failed key=lost error={trouble}");
+    /// Handles the outcome of a write; the rows themselves arrive through the follower of the
+    /// table.
+    pub fn on_written(&mut self, result: Result<(), String>) {
+        self.is_writing = false;
+        if let Err(error) = result {
+            warn!("event=record-failed key=lost error={error}");
         }
     }
 
-    /// Sets when what is lost is written, and forgets what is not lost any more.
-    fn plan(&mut self, lost: &[Rewrite], now: Time, reads: bool) {
+    /// Schedules the rows that are lost and drops those that no longer are.
+    fn plan(&mut self, lost: &[Rewrite], now: Time, reads_store: bool) {
         let mut due = std::mem::take(&mut self.due);
-        for again in lost {
-            let wait = match again.key.starts_with(ENTRY_PREFIX) {
-                true => Span::from_micros(self.offset.micros() * OWN_SPREAD),
-                false => self.offset + mover::behind(reads),
+        for rewrite in lost {
+            let wait = match rewrite.key.starts_with(ENTRY_PREFIX) {
+                true => Span::from_micros(self.jitter.micros() * OWN_JITTER_FACTOR),
+                false => self.jitter + mover::reader_delay(reads_store),
             };
-            let place = (again.table, again.key.clone());
+            let place = (rewrite.table, rewrite.key.clone());
             let known = due.remove(&place);
             self.due.insert(place, known.unwrap_or(now + wait));
         }
     }
 }
 
-fn add(change: Change, again: &Rewrite) -> Change {
-    let change = change.expect(again.table, &again.key, again.version);
-    match &again.value {
-        Some(value) => change.put(again.table, &again.key, value),
-        None => change.remove(again.table, &again.key),
+fn add_row(change: Change, rewrite: &Rewrite) -> Change {
+    let change = change.expect(rewrite.table, &rewrite.key, rewrite.version);
+    match &rewrite.value {
+        Some(value) => change.put(rewrite.table, &rewrite.key, value),
+        None => change.remove(rewrite.table, &rewrite.key),
     }
 }
--- a/crates/daemon/src/hosted/usage.rs
+++ b/crates/daemon/src/hosted/usage.rs
@@ -1,29 +1,30 @@
-//! What entries tell one another of the requests that began to run, and of the time of day.
+//! Usage counts and UTC, which entries exchange over the replication links.
 
 use sorreldeck::duty::{self, Tally, Update, Window};
 use sorreldeck::{AccountId, InstanceId, Span, Time};
 use std::collections::BTreeMap;
 
-/// How often an entry tells what it counted: what it did not tell is lost with it.
-const TELL_EVERY: Span = Span::from_millis(250);
+/// Interval between messages with changed counts. An entry that crashes loses the counts it has
+/// not sent.
+const SEND_INTERVAL: Span = Span::from_millis(250);
 
-/// What is known here of counts and of the time of day.
+/// Usage counts of the entries in this data hall, and UTC.
 #[derive(Clone, Debug)]
 pub struct Usage {
     tally: Tally,
-    told: Time,
-    /// The time of day less the store's clock, in microseconds: of entries that told it, and the
-    /// one that whoever does the duty goes by.
+    last_sent: Time,
+    /// Difference between UTC and the store's clock in microseconds, as reported by other
+    /// entries (`epochs`) and as used by the entry that holds the reporting lease (`agreed`).
     epochs: BTreeMap<InstanceId, i64>,
     agreed: Option<i64>,
 }
 
 impl Usage {
-    /// Creates what is known where nothing was counted.
+    /// Creates counts without any request.
     pub fn new(tally: Tally) -> Usage {
         Usage {
             tally,
-            told: Time::default(),
+            last_sent: Time::default(),
             epochs: BTreeMap::new(),
             agreed: None,
         }
@@ -34,14 +35,15 @@
         &self.tally
     }
 
-    /// Counts a request that began to run; `store` is the time on the store's clock, in
+    /// Counts a request that began to run; `store` is the time on the store's clock in
     /// microseconds.
-    pub fn began(&mut self, account: &AccountId, now: Time, store: Option<u64>) {
+    pub fn record(&mut self, account: &AccountId, now: Time, store: Option<u64>) {
         let time = self.time(now, store);
         self.tally.record(account, time);
     }
 
-    /// Returns true time, or this process's own where nothing better is known.
+    /// Returns UTC, or this process's own time if the agreed difference or the store's clock is
+    /// unknown.
     pub fn time(&self, now: Time, store: Option<u64>) -> Time {
         let time = self.agreed.zip(store).and_then(|(epoch, store)| {
             let time = i64::try_from(store).ok()?.checked_add(epoch)?;
@@ -50,34 +52,34 @@
         time.map_or(now, Time)
     }
 
-    /// Returns the agreed time of day less the store's clock, in microseconds.
+    /// Returns the agreed difference between UTC and the store's clock in microseconds.
     pub fn agreed(&self) -> Option<i64> {
         self.agreed
     }
 
-    /// Takes in the agreed time of day.
+    /// Sets the agreed difference, if there is one.
     pub fn agree(&mut self, epoch: Option<i64>) {
         self.agreed = epoch.or(self.agreed);
     }
 
-    /// Returns the time of day as most entries have it, with this one.
+    /// Returns the median of the differences that the entries report, including this one's.
     pub fn epoch(&self, own: Option<i64>) -> Option<i64> {
         let epochs = self.epochs.values().copied().chain(own);
         duty::median(epochs.collect())
     }
 
-    /// Returns what is due to be told to sources that were told before; at once where this entry is
-    /// `leaving`.
+    /// Returns the changed counts that are due for sources that already have the others.
+    /// Changes are due at once if this entry is leaving.
     pub fn due(&mut self, leaving: bool, now: Time) -> Vec<Update> {
-        let is_early = !leaving && now.since(self.told) < TELL_EVERY;
+        let is_early = !leaving && now.since(self.last_sent) < SEND_INTERVAL;
         if !self.tally.has_changes() || is_early {
             return Vec::new();
         }
-        self.told = now;
+        self.last_sent = now;
         self.tally.take_changes()
     }
 
-    /// Takes in what another entry of this data hall tells.
+    /// Merges the counts and the difference of another entry in this data hall.
     pub fn merge(&mut self, entry: &InstanceId, parts: Vec<Update>, epoch: Option<i64>) {
         self.tally.merge(entry, parts);
         if let Some(epoch) = epoch {
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Forgets the windows up to one, which are finished.
-    pub fn finished(&mut self, window: Window) {
+    /// Drops the windows up to and including a completed one.
+    pub fn prune_through(&mut self, window: Window) {
         self.tally.prune_before(window.next());
     }
 }
--- a/crates/daemon/src/hosted/web.rs
+++ b/crates/daemon/src/hosted/web.rs
@@ -1,9 +1,9 @@
-//! What a hosted entry tells about itself: readiness and metrics.
+//! HTTP endpoints for readiness and metrics.
 
 use super::event_loop::{EventLoop, Message};
 use super::shared::Shared;
 
-/// Returns the application that tells whether callers may come.
+/// Returns the application of the readiness check.
 pub fn health(shared: Shared) -> tide::Server<Shared> {
     let mut app = tide::with_state(shared);
     app.at("/ready")
@@ -14,17 +14,17 @@
     app
 }
 
-/// Returns the application that tells the metrics.
+/// Returns the application that serves the metrics.
 pub fn metrics(shared: Shared) -> tide::Server<Shared> {
     let mut app = tide::with_state(shared);
     app.at("/metrics")
         .get(|request: tide::Request<Shared>| async move {
-            let (reply, text) = async_channel::bounded(1);
-            let with = move |room: &mut EventLoop| {
-                // The caller may have gone; then nobody wants the text.
-                let _ = reply.try_send(room.metrics_text());
+            let (sender, text) = async_channel::bounded(1);
+            let collect = move |event_loop: &mut EventLoop| {
+                // Sending fails if the client disconnected in the meantime.
+                let _ = sender.try_send(event_loop.metrics_text());
             };
-            let message = Message::Execute(Box::new(with));
+            let message = Message::Execute(Box::new(collect));
             if request.state().send.send(message).await.is_err() {
                 return Ok(tide::Response::new(503));
             }
