--- a/crates/daemon/src/hosted/client.rs
+++ b/crates/daemon/src/hosted/client.rs
@@ -130,9 +130,9 @@
     }
 
     async fn exchange(&self, address: Option<SocketAddr>, start: Start) -> Result<(), Failure> {
-        let gone = || Failure::not_run(Reason::Leaving, "the upstream has just left");
-        let address = address.ok_or_else(gone)?;
-        let metadata = self.metadata.as_ref().ok_or_else(gone)?;
+        let upstream_left = || Failure::not_run(Reason::Leaving, "the upstream has just left");
+        let address = address.ok_or_else(upstream_left)?;
+        let metadata = self.metadata.as_ref().ok_or_else(upstream_left)?;
         let mut channel = self.channel(address, metadata.at_most_once).await?;
         let time_left = self.remaining_time()?;
         let request = request_of(start, metadata, time_left)?;
@@ -211,8 +211,8 @@
         let metadata = self.metadata.as_ref();
         let label = metadata.map(|o| o.label.as_str());
         let is_foreign = head.label.is_some() && head.label.as_deref() != label;
-        let is_given = !is_foreign && !head.not_run && (status >= 300 || head.receipt);
-        if let Some(notice) = head.notice.filter(|_| !is_given) {
+        let is_forwarded = !is_foreign && !head.not_run && (status >= 300 || head.receipt);
+        if let Some(notice) = head.notice.filter(|_| !is_forwarded) {
             // The notice applies regardless of the request's outcome.
             self.send_reply(Reply::Notice(notice, head.load)).await;
         }
@@ -230,9 +230,9 @@
         if status < 300 && !head.receipt {
             return Err(may_have_run("a success without its receipt"));
         }
-        let stream = metadata.is_some_and(|o| o.stream);
+        let is_stream = metadata.is_some_and(|o| o.stream);
         let mut headers = call::passed_back(headers);
-        if stream {
+        if is_stream {
             headers.retain(|h| h.name != "content-length");
         }
         self.send_reply(Reply::Head(Head {
@@ -247,7 +247,8 @@
     }
 
     async fn forward_body(&self, response: Response<Incoming>) -> Result<(), Failure> {
-        let stream = self.metadata.as_ref().is_some_and(|o| o.stream) && response.status() == 200;
+        let is_stream =
+            self.metadata.as_ref().is_some_and(|o| o.stream) && response.status() == 200;
         let mut body = response.into_body();
         let mut pending = Vec::new();
         while let Some(frame) = body.frame().await {
@@ -255,7 +256,7 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            match stream {
+            match is_stream {
                 true => {
                     pending.extend_from_slice(&data);
                     self.forward_events(&mut pending).await;
@@ -284,12 +285,8 @@
         };
         let rest = pending.split_off(end + 2);
         let data = std::mem::replace(pending, rest);
-        let last = call::last_event(&data);
-        self.send_reply(Reply::Data {
-            data,
-            last_event: last,
-        })
-        .await;
+        let last_event = call::last_event(&data);
+        self.send_reply(Reply::Data { data, last_event }).await;
     }
 }
 
--- a/crates/daemon/src/hosted/frontend.rs
+++ b/crates/daemon/src/hosted/frontend.rs
@@ -56,8 +56,8 @@
         head_timeout: limits.head_timeout.into(),
         idle_timeout: limits.idle_timeout.into(),
     };
-    let answer = |request| answer(request, shared.clone());
-    h1::serve(stream, door, limits, answer).await;
+    let handle_request = |request| handle_request(request, shared.clone());
+    h1::serve(stream, door, limits, handle_request).await;
 }
 
 /// A request in progress. If it is dropped before its response is complete, the event loop
@@ -99,7 +99,7 @@
     }
 }
 
-async fn answer(request: Request<Incoming>, shared: Shared) -> Response<ResponseBody> {
+async fn handle_request(request: Request<Incoming>, shared: Shared) -> Response<ResponseBody> {
     let mut reservation = Reservation {
         shared: shared.clone(),
         bytes: 0,
@@ -152,12 +152,12 @@
     let idle: Duration = limits.idle_timeout.into();
     loop {
         let frame = async_std::future::timeout(idle, body.frame()).await;
-        let slow = |_| Failure::not_run(Reason::TooSlow, "the body did not come in time");
-        let Some(frame) = frame.map_err(slow)? else {
+        let timed_out = |_| Failure::not_run(Reason::TooSlow, "the body did not come in time");
+        let Some(frame) = frame.map_err(timed_out)? else {
             break;
         };
-        let broken = |e: hyper::Error| Failure::not_run(Reason::BadRequest, e.to_string());
-        let Ok(data) = frame.map_err(broken)?.into_data() else {
+        let read_error = |e: hyper::Error| Failure::not_run(Reason::BadRequest, e.to_string());
+        let Ok(data) = frame.map_err(read_error)?.into_data() else {
             continue;
         };
         if buf.len() + data.len() > max_bytes {
--- a/crates/daemon/src/hosted/log.rs
+++ b/crates/daemon/src/hosted/log.rs
@@ -16,8 +16,8 @@
 /// Maximum number of lines that wait to be written.
 const MAX_QUEUED: usize = 1024;
 /// Lines per second on average, and in a burst: about three for each request of a busy entry.
-const RATE: f64 = 300.0;
-const BURST: f64 = 900.0;
+const LINES_PER_SECOND: f64 = 300.0;
+const BURST_LINES: f64 = 900.0;
 
 /// Starts the log of a hosted entry.
 pub fn start() {
@@ -48,18 +48,18 @@
             layout: JsonLayout::default(),
             lines,
             dropped,
-            tokens: Mutex::new((BURST, Instant::now())),
+            tokens: Mutex::new((BURST_LINES, Instant::now())),
         }
     }
 
     fn has_token(&self) -> bool {
         let mut tokens = self.tokens.lock().unwrap_or_else(|e| e.into_inner());
         let (left, since) = *tokens;
-        let filled = (left + since.elapsed().as_secs_f64() * RATE).min(BURST);
-        let has = filled >= 1.0;
-        let left = if has { filled - 1.0 } else { filled };
+        let filled = (left + since.elapsed().as_secs_f64() * LINES_PER_SECOND).min(BURST_LINES);
+        let is_available = filled >= 1.0;
+        let left = if is_available { filled - 1.0 } else { filled };
         *tokens = (left, Instant::now());
-        has
+        is_available
     }
 }
 
--- a/crates/daemon/src/hosted/mirror/mod.rs
+++ b/crates/daemon/src/hosted/mirror/mod.rs
@@ -404,13 +404,13 @@
 
     /// Returns the changes of a table after a version, for other entries, or `None` if nothing
     /// newer is mirrored.
-    pub fn delta(&mut self, table: Table, have: Stamp) -> Option<TableDelta> {
-        let replica = self.tables.get_mut(&table).filter(|t| t.stamp > have)?;
-        let have = match have.era == replica.stamp.era {
-            true => have.version,
+    pub fn delta(&mut self, table: Table, after: Stamp) -> Option<TableDelta> {
+        let replica = self.tables.get_mut(&table).filter(|t| t.stamp > after)?;
+        let after = match after.era == replica.stamp.era {
+            true => after.version,
             false => 0,
         };
-        let Delta { since, rows } = replica.delta(have);
+        let Delta { since, rows } = replica.delta(after);
         let (rows, packed) = match rows {
             Rows::Plain(rows) => (rows, None),
             Rows::Packed(bytes) => (Vec::new(), Some(bytes)),
@@ -429,9 +429,9 @@
     }
 
     /// Returns whether rows of a table changed after a version.
-    pub fn has_changed(&self, table: Table, have: Stamp) -> bool {
-        let replica = self.tables.get(&table).filter(|t| t.stamp > have);
-        replica.is_some_and(|t| Stamp::new(t.stamp.era, t.newest) > have)
+    pub fn has_changed(&self, table: Table, after: Stamp) -> bool {
+        let replica = self.tables.get(&table).filter(|t| t.stamp > after);
+        replica.is_some_and(|t| Stamp::new(t.stamp.era, t.newest) > after)
     }
 
     /// Applies changes that another entry forwarded.
@@ -502,9 +502,9 @@
             if table == Table::Upstreams {
                 // These upstreams have already had their grace period, so they are retired
                 // however many there are.
-                let gone = expired.iter().filter(|id| self.row(table, id).is_none());
-                let gone: Vec<String> = gone.cloned().collect();
-                updates.extend(gone.iter().filter_map(|id| self.retire(id)));
+                let vanished = expired.iter().filter(|id| self.row(table, id).is_none());
+                let vanished: Vec<String> = vanished.cloned().collect();
+                updates.extend(vanished.iter().filter_map(|id| self.retire(id)));
             }
             updates.extend(self.updates(table, &expired, now));
         }
--- a/crates/daemon/src/hosted/mod.rs
+++ b/crates/daemon/src/hosted/mod.rs
@@ -86,20 +86,20 @@
 }
 
 /// Interval at which the SIGHUP flag is checked.
-const RELOAD_EVERY: std::time::Duration = std::time::Duration::from_millis(500);
+const RELOAD_CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// Reads the settings again on SIGHUP. They are fixed for the lifetime of a process, so a
 /// change is only logged.
-async fn watch_settings(path: std::path::PathBuf, known: Settings, reload: Arc<AtomicBool>) {
+async fn watch_settings(path: std::path::PathBuf, current: Settings, reload: Arc<AtomicBool>) {
     loop {
-        task::sleep(RELOAD_EVERY).await;
+        task::sleep(RELOAD_CHECK_INTERVAL).await;
         if !reload.swap(false, std::sync::atomic::Ordering::Relaxed) {
             continue;
         }
         let result = std::fs::read_to_string(&path);
         let result = result.map_err(|e| e.to_string());
         match result.and_then(|text| Settings::from_json(&text).map_err(|e| e.to_string())) {
-            Ok(settings) => info!("event=reload changed={}", settings != known),
+            Ok(settings) => info!("event=reload changed={}", settings != current),
             Err(e) => ::log::error!("event=reload error={e:?}"),
         }
     }
--- a/crates/daemon/src/hosted/relay.rs
+++ b/crates/daemon/src/hosted/relay.rs
@@ -125,9 +125,9 @@
 
 impl Relay {
     /// Creates the replication state of an entry without links.
-    pub fn new(own: Peer, bounds: Timeouts) -> Relay {
+    pub fn new(own: Peer, timeouts: Timeouts) -> Relay {
         Relay {
-            follow: Planner::new(own.clone(), bounds),
+            follow: Planner::new(own.clone(), timeouts),
             own,
             sources: BTreeMap::new(),
             subscribers: BTreeMap::new(),
@@ -287,11 +287,11 @@
     /// Queues hints for the subscribers, except for the one that sent them. Hints of other data
     /// halls are queued only for subscribers in this data hall.
     fn queue_for_subscribers(&mut self, hints: &Hints, from: Option<Link>, is_own: bool) {
-        let home = &self.own.hall;
+        let own_hall = &self.own.hall;
         for (link, subscriber) in &mut self.subscribers {
-            let is_same_hall = subscriber.hall == *home;
-            let wants = is_same_hall || (is_own && subscriber.reads_store);
-            if wants && Some(*link) != from {
+            let is_same_hall = subscriber.hall == *own_hall;
+            let is_recipient = is_same_hall || (is_own && subscriber.reads_store);
+            if is_recipient && Some(*link) != from {
                 subscriber.hints.extend(hints);
             }
         }
@@ -452,9 +452,9 @@
         let has_hints =
             !subscriber.hints.is_empty() && now.since(subscriber.last_sent) >= HINT_BATCH_DELAY;
         let mut tables = Vec::new();
-        for (table, have) in Table::ALL.iter().zip(&subscriber.stamps) {
-            if is_due || mirror.has_changed(*table, *have) {
-                tables.extend(mirror.delta(*table, *have));
+        for (table, stamp) in Table::ALL.iter().zip(&subscriber.stamps) {
+            if is_due || mirror.has_changed(*table, *stamp) {
+                tables.extend(mirror.delta(*table, *stamp));
             }
         }
         if !is_due && !has_hints && tables.is_empty() {
