--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,9 +1,9 @@
 //! The administration API under `/admin/v1`.
 
-use crate::callers::bearer;
+use crate::callers::bearer_token;
 use crate::clock;
-use crate::entry::{Message, Room, Shared};
-use crate::spread::{self, News, Outcome, Wish};
+use crate::entry::{EventLoop, Message, Shared};
+use crate::propagation::{self, Outcome, Proposal, Transfer};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use sorreldeck::tree::{self, Change, Edit, Key, Section, Tree};
@@ -100,7 +100,7 @@
 }
 
 fn operator(request: &Request<Shared>) -> Result<Operator, Refusal> {
-    let token = bearer(request).ok_or_else(|| {
+    let token = bearer_token(request).ok_or_else(|| {
         Refusal::new(
             401,
             "no_token",
@@ -352,18 +352,18 @@
         let nothing = json!({"revision": tree.revision(), "accepted": true, "edits": []});
         return json_response(&nothing);
     }
-    let wish = Wish {
+    let wish = Proposal {
         author: operator.name.clone(),
         ticket,
         edits,
         lease: None,
     };
-    match spread::accept(&shared.platform, &tree, wish).await? {
+    match propagation::submit(&shared.platform, &tree, wish).await? {
         Outcome::Accepted(change) => {
-            let news = News::Changes(vec![change.clone()]);
+            let news = Transfer::Changes(vec![change.clone()]);
             // In force here before it is answered: the operator's next call
             // must find it.
-            shared.ask(move |room| room.adopt(news)).await;
+            shared.query(move |room| room.apply(news)).await;
             accepted(&change)
         }
         Outcome::Conflict(revision) => Err(conflict(base, revision)),
@@ -373,7 +373,7 @@
             refusal.extra = json!({"ticket": format!("{ticket:016x}")});
             Err(refusal)
         }
-        Outcome::Down(message) => Err(Refusal::new(503, "store_down", message)),
+        Outcome::Unavailable(message) => Err(Refusal::new(503, "store_down", message)),
     }
 }
 
@@ -397,17 +397,17 @@
 async fn accepted_before(shared: &Shared, ticket: u64) -> Option<Change> {
     // Another entry may have accepted it a moment ago.
     let known = shared.tree().revision();
-    if let Ok(Some(news)) = spread::fetch(&shared.platform, known).await {
-        let _ = shared.send.send(Message::News(news)).await;
+    if let Ok(Some(news)) = propagation::fetch(&shared.platform, known).await {
+        let _ = shared.send.send(Message::Config(news)).await;
     }
-    let find = move |room: &mut crate::entry::Room| {
+    let find = move |room: &mut crate::entry::EventLoop| {
         let changes = room
             .config
             .since(Revision(0))
             .or_else(|| room.config.retained());
         changes.and_then(|all| all.into_iter().find(|c| c.ticket == ticket))
     };
-    shared.ask(find).await.flatten()
+    shared.query(find).await.flatten()
 }
 
 fn accepted(change: &Change) -> Answer {
@@ -486,9 +486,9 @@
 /// Has the entry's loop answer.
 async fn ask<T: Send + 'static>(
     request: &Request<Shared>,
-    ask: impl FnOnce(&mut Room) -> T + Send + 'static,
+    ask: impl FnOnce(&mut EventLoop) -> T + Send + 'static,
 ) -> Result<T, Refusal> {
-    let answer = request.state().ask(ask).await;
+    let answer = request.state().query(ask).await;
     answer.ok_or_else(|| Refusal::new(503, "leaving", "this entry has stopped"))
 }
 
@@ -501,7 +501,7 @@
     reply(answer.await)
 }
 
-fn status_of(room: &mut Room, operator: &Operator) -> Value {
+fn status_of(room: &mut EventLoop, operator: &Operator) -> Value {
     let tree = room.entry.tree().clone();
     let now = room.clock.now();
     let upstreams: Vec<Value> = room
--- a/crates/daemon/src/admin/explain.rs
+++ b/crates/daemon/src/admin/explain.rs
@@ -30,7 +30,7 @@
         let class = described.class.as_deref();
         let site = route::context(&tree, described.node.clone(), class).map_err(refusal_of)?;
         let asked = ask_of(request.state(), described)?;
-        let explain = move |room: &mut Room| {
+        let explain = move |room: &mut EventLoop| {
             let now = room.clock.now();
             room.entry.explain(now, site, asked)
         };
@@ -84,7 +84,7 @@
         let id: RequestId = request.param("request").unwrap_or_default().parse()?;
         let decision = request
             .state()
-            .ask(move |room| room.entry.history().get(id).cloned())
+            .query(move |room| room.entry.history().get(id).cloned())
             .await
             .flatten();
         let decision = decision.ok_or_else(|| {
--- a/crates/daemon/src/admin/halls.rs
+++ b/crates/daemon/src/admin/halls.rs
@@ -23,7 +23,7 @@
     reply(answer.await)
 }
 
-fn relief_of(room: &mut Room, hall: &Hall) -> Value {
+fn relief_of(room: &mut EventLoop, hall: &Hall) -> Value {
     let peers = room.entry.peers();
     let pools = peers
         .evacuation_impact(hall)
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -41,14 +41,14 @@
 }
 
 async fn metrics(request: Request<Shared>) -> tide::Result {
-    match request.state().ask(|room| room.metrics_text()).await {
+    match request.state().query(|room| room.metrics_text()).await {
         Some(text) => Ok(text.into()),
         None => Ok(Response::new(503)),
     }
 }
 
 /// Returns the API key or token of a request.
-pub fn bearer(request: &Request<Shared>) -> Option<String> {
+pub fn bearer_token(request: &Request<Shared>) -> Option<String> {
     let value = request.header("authorization")?.as_str();
     Some(value.strip_prefix("Bearer ")?.trim().to_owned())
 }
@@ -59,7 +59,7 @@
 
 async fn models(request: Request<Shared>) -> tide::Result {
     let tree = request.state().tree();
-    let key = bearer(&request);
+    let key = bearer_token(&request);
     let route = header_of(&request, header::ROUTE);
     let caller = Caller {
         key: key.as_deref(),
@@ -68,7 +68,7 @@
     };
     let site = match route::identify(&tree, &caller) {
         Ok(site) => site,
-        Err(failure) => return Ok(refuse(None, &failure)),
+        Err(failure) => return Ok(error_response(None, &failure)),
     };
     let names = site.node.models.iter().flatten();
     let data: Vec<Value> = names
@@ -114,10 +114,10 @@
     };
     let ask = ask_of(&request, id, what);
     let (send, parts) = async_channel::unbounded();
-    let message = Message::Ask(Box::new(ask), send);
+    let message = Message::Request(Box::new(ask), send);
     if shared.send.send(message).await.is_err() {
         let failure = Failure::not_run(Reason::Leaving, "this entry has stopped");
-        return Ok(refuse(Some(id), &failure));
+        return Ok(error_response(Some(id), &failure));
     }
     let connection = request.ext::<TcpStream>().cloned();
     let call = Call { body, ..call };
@@ -126,7 +126,7 @@
 
 /// Refuses a request whose body may not have been read to its end.
 fn refuse_unread(request: &Request<Shared>, id: RequestId, failure: &Failure) -> Response {
-    let mut response = refuse(Some(id), failure);
+    let mut response = error_response(Some(id), failure);
     // What is left of the request would be taken for the next one.
     response.insert_header("connection", "close");
     // The server reads a request to its end before it closes, and a slow
@@ -147,7 +147,7 @@
     for (name, values) in request.iter() {
         let name = name.as_str();
         let own = name.starts_with("x-sorreldeck-") || name == "host";
-        if own || !crate::upstream::passes(name) {
+        if own || !crate::upstream::is_end_to_end(name) {
             continue;
         }
         for value in values {
@@ -165,7 +165,7 @@
 fn ask_of(request: &Request<Shared>, id: RequestId, what: Payload) -> EntryRequest {
     EntryRequest {
         request: id,
-        key: bearer(request),
+        key: bearer_token(request),
         route: header_of(request, header::ROUTE),
         class: header_of(request, header::CLASS),
         session: header_of(request, header::SESSION),
@@ -178,7 +178,7 @@
 /// Reads the body within the limits of the caller's node. A caller that is not
 /// known is refused before its body is read.
 async fn take_in(request: &mut Request<Shared>, shared: &Shared) -> Result<Vec<u8>, Failure> {
-    let key = bearer(request);
+    let key = bearer_token(request);
     let route = header_of(request, header::ROUTE);
     let caller = Caller {
         key: key.as_deref(),
@@ -250,10 +250,10 @@
     match first.or(gone).await {
         Some(Part::Head { status: 0, headers }) => forward(shared, id, call, &headers).await,
         Some(Part::Head { status, headers }) => give(id, status, headers, parts).await,
-        Some(Part::Fail(failure)) => refuse(Some(id), &failure),
+        Some(Part::Fail(failure)) => error_response(Some(id), &failure),
         Some(Part::Data(_) | Part::End) => {
             let message = "the answer has no head";
-            refuse(
+            error_response(
                 Some(id),
                 &Failure::new(Reason::Invariant, Verdict::Ran, message),
             )
@@ -267,7 +267,7 @@
                 Verdict::MayHaveRun,
                 "the caller went away",
             );
-            refuse(Some(id), &failure)
+            error_response(Some(id), &failure)
         }
     }
 }
@@ -288,7 +288,7 @@
         match part {
             Part::Data(data) => body.extend_from_slice(&data),
             Part::End => break,
-            Part::Fail(failure) => return refuse(Some(id), &failure),
+            Part::Fail(failure) => return error_response(Some(id), &failure),
             Part::Head { .. } => {}
         }
         if body.len() as u64 > GATHERED {
@@ -349,7 +349,7 @@
     let address = http::find_header(headers, FORWARD).and_then(|a| a.parse::<SocketAddr>().ok());
     let Some(address) = address else {
         let message = "the address of the old scripts is not understood";
-        return refuse(Some(id), &Failure::not_run(Reason::NoUpstream, message));
+        return error_response(Some(id), &Failure::not_run(Reason::NoUpstream, message));
     };
     let sent = shared.client.send(address, &call, false).await;
     let mut incoming = match sent {
@@ -357,12 +357,12 @@
         Err(trouble) => {
             let message = format!("the old scripts: {}", trouble.message);
             let failure = Failure::new(Reason::UpstreamFailed, trouble.verdict, message);
-            return refuse(Some(id), &failure);
+            return error_response(Some(id), &failure);
         }
     };
     let passed = incoming.headers.iter();
     let mut headers: Vec<Header> = passed
-        .filter(|h| crate::upstream::passes(&h.name))
+        .filter(|h| crate::upstream::is_end_to_end(&h.name))
         .cloned()
         .collect();
     headers.push(Header::new(header::REQUEST, id));
@@ -390,7 +390,7 @@
 }
 
 /// Returns the response that tells a caller of a failure.
-pub fn refuse(id: Option<RequestId>, failure: &Failure) -> Response {
+pub fn error_response(id: Option<RequestId>, failure: &Failure) -> Response {
     let mut response = Response::new(failure.reason.status());
     response.set_body(error_body(id, failure));
     response.insert_header(header::VERDICT, failure.verdict.as_str());
@@ -427,7 +427,7 @@
 }
 
 /// Returns the text of an answer of an engine, whole or streamed.
-pub fn text_of(answer: &[u8]) -> String {
+pub fn answer_text(answer: &[u8]) -> String {
     let piece = |value: &Value, field: &str| {
         let content = &value["choices"][0][field]["content"];
         content.as_str().unwrap_or_default().to_owned()
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -77,7 +77,7 @@
 }
 
 /// Returns a random number in `[0, 1)`.
-pub fn unit() -> f64 {
+pub fn random_fraction() -> f64 {
     let bits = u64::from_le_bytes(random());
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/controller.rs
@@ -1,9 +1,9 @@
 //! The controller of roll-outs: it runs in whichever entry holds the lease.
 
-use crate::clock::unit;
+use crate::clock::random_fraction;
 use crate::clock::Clock;
 use crate::entry::{Message, Shared};
-use crate::spread::{self, News, Outcome, Wish};
+use crate::propagation::{self, Outcome, Proposal, Transfer};
 use async_std::task;
 use log::{info, warn};
 use serde_json::Value;
@@ -53,7 +53,7 @@
         };
         let due = self
             .read
-            .is_none_or(|t| t.elapsed() >= mean.mul_f64(0.5 + unit()));
+            .is_none_or(|t| t.elapsed() >= mean.mul_f64(0.5 + random_fraction()));
         if due {
             self.read = Some(Instant::now());
             // Without an answer the lease runs out by itself.
@@ -112,32 +112,32 @@
 /// Records what the evidence asks for.
 async fn look(shared: &Shared, version: u64, fence: u64) {
     let tree = shared.tree();
-    let edits = shared.ask(move |room| propose(room, fence)).await;
+    let edits = shared.query(move |room| propose(room, fence)).await;
     for edit in edits.into_iter().flatten() {
         let what = edit.to_string();
         let value = edit.new.clone().unwrap_or_default();
-        let wish = Wish {
+        let wish = Proposal {
             author: "controller".into(),
             ticket: u64::from_le_bytes(crate::clock::random()),
             edits: vec![edit],
             lease: Some((ROW.to_owned(), version)),
         };
-        match spread::accept(&shared.platform, &tree, wish).await {
+        match propagation::submit(&shared.platform, &tree, wish).await {
             Ok(Outcome::Accepted(change)) => {
                 info!("recorded {what}: {value}");
-                let news = News::Changes(vec![change]);
-                let _ = shared.send.send(Message::News(news)).await;
+                let news = Transfer::Changes(vec![change]);
+                let _ = shared.send.send(Message::Config(news)).await;
                 // The next edit needs the tree that this one made.
                 return;
             }
             // The next look starts from what is accepted then.
-            Ok(Outcome::Conflict(_) | Outcome::Unknown(_) | Outcome::Down(_)) => return,
+            Ok(Outcome::Conflict(_) | Outcome::Unknown(_) | Outcome::Unavailable(_)) => return,
             Err(e) => warn!("the record {what} is not valid: {e}"),
         }
     }
 }
 
-fn propose(room: &mut crate::entry::Room, fence: u64) -> Vec<Edit> {
+fn propose(room: &mut crate::entry::EventLoop, fence: u64) -> Vec<Edit> {
     let tree = room.entry.tree().clone();
     let mut edits = Vec::new();
     for name in tree.rollouts().keys() {
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -3,13 +3,13 @@
 use crate::admin;
 use crate::callers;
 use crate::clock::{self, Clock};
-use crate::control::{self, Lease};
-use crate::links::{self, Directory};
+use crate::controller::{self, Lease};
+use crate::event_loop::{self, Flow, Stop};
+use crate::links::{self, Context};
 use crate::metrics::Metrics;
 use crate::options;
+use crate::propagation::{self, Throttle, Transfer};
 use crate::sidecar::write_batch;
-use crate::spread::{self, Asker, News};
-use crate::turn::{self, Next, Stop};
 use async_channel::{Receiver, Sender};
 use async_std::net::TcpListener;
 use async_std::task;
@@ -44,17 +44,17 @@
     /// Something for the decisions.
     Input(Input),
     /// A request and where its answer goes.
-    Ask(Box<sorreldeck::entry::Request>, Sender<Part>),
+    Request(Box<sorreldeck::entry::Request>, Sender<Part>),
     /// A link is up; the name is that of the platform's list.
     LinkUp(Link, Outbox),
     /// Something happened on a link.
     Link(Event),
     /// A newer configuration.
-    News(News),
+    Config(Transfer),
     /// The platform's list of instances.
     Instances(Vec<Instance>),
     /// Something that only the loop can do; the closure says what.
-    With(Box<dyn FnOnce(&mut Room) + Send>),
+    Execute(Box<dyn FnOnce(&mut EventLoop) + Send>),
 }
 
 /// What handlers share with the loop.
@@ -96,16 +96,19 @@
 
     /// Has the loop do something and returns what it says, or `None` if the
     /// loop has ended.
-    pub async fn ask<T: Send + 'static>(
+    pub async fn query<T: Send + 'static>(
         &self,
-        ask: impl FnOnce(&mut Room) -> T + Send + 'static,
+        ask: impl FnOnce(&mut EventLoop) -> T + Send + 'static,
     ) -> Option<T> {
         let (reply, answer) = async_channel::bounded(1);
-        let with = move |room: &mut Room| {
+        let with = move |room: &mut EventLoop| {
             // The handler may have gone; then nobody wants the answer.
             let _ = reply.try_send(ask(room));
         };
-        self.send.send(Message::With(Box::new(with))).await.ok()?;
+        self.send
+            .send(Message::Execute(Box::new(with)))
+            .await
+            .ok()?;
         answer.recv().await.ok()
     }
 }
@@ -128,7 +131,7 @@
 /// Fails when the address cannot be listened on.
 pub async fn run(settings: options::Entry) -> Result<()> {
     let platform = Platform::connect(settings.platform);
-    let stop = turn::on_signal()?;
+    let stop = event_loop::stop_flag()?;
     let running = start(settings, platform, stop).await?;
     println!("callers and operators on {}", running.address);
     running.stop.ended().await;
@@ -171,7 +174,7 @@
     decisions.sample = settings.sample;
     decisions.judge = settings.judge;
     decisions.even_limits = settings.even_limits;
-    let room = Room {
+    let room = EventLoop {
         entry: Entry::new(decisions),
         config: Config::default(),
         clock: Clock::start(),
@@ -180,12 +183,12 @@
         metrics: Metrics::default(),
         traffic: Arc::default(),
         instances: Vec::new(),
-        asker: Asker::default(),
+        asker: Throttle::default(),
         beat: Instant::now(),
         violated: 0,
         shared: shared.clone(),
     };
-    let directory = Directory {
+    let directory = Context {
         me: settings.name.clone(),
         incarnation,
         platform: platform.clone(),
@@ -194,9 +197,13 @@
         send: send.clone(),
         traffic: room.traffic.clone(),
     };
-    task::spawn(links::keep(directory));
-    task::spawn(spread::poll(platform.clone(), send.clone(), Message::News));
-    task::spawn(control::run(
+    task::spawn(links::maintain(directory));
+    task::spawn(propagation::poll(
+        platform.clone(),
+        send.clone(),
+        Message::Config,
+    ));
+    task::spawn(controller::run(
         shared.clone(),
         Lease::new(&settings.name, incarnation),
     ));
@@ -222,7 +229,7 @@
 }
 
 /// What the loop holds.
-pub struct Room {
+pub struct EventLoop {
     /// The decisions.
     pub entry: Entry,
     /// The configuration and its last changes.
@@ -236,27 +243,27 @@
     links: HashMap<Link, Outbox>,
     callers: HashMap<RequestId, Sender<Part>>,
     traffic: Arc<Traffic>,
-    asker: Asker,
+    asker: Throttle,
     beat: Instant,
     violated: u64,
     shared: Shared,
 }
 
-impl Room {
+impl EventLoop {
     async fn work(mut self, receive: Receiver<Message>, stop: Arc<AtomicBool>, grace: Duration) {
         let mut stopping: Option<Instant> = None;
-        let tick = |room: &mut Room| {
+        let tick = |room: &mut EventLoop| {
             room.tick(stopping.is_some());
             if stop.load(Ordering::Relaxed) && stopping.is_none() {
                 info!("the entry leaves");
                 stopping = Some(Instant::now());
             }
             match stopping.is_some_and(|since| room.is_done(since, grace)) {
-                true => Next::End,
-                false => Next::Go,
+                true => Flow::End,
+                false => Flow::Continue,
             }
         };
-        turn::run(&mut self, receive, Room::take, tick).await;
+        event_loop::run(&mut self, receive, EventLoop::take, tick).await;
         if !self.entry.record_stop() {
             warn!("the stop cuts {} requests", self.entry.in_flight());
         }
@@ -294,7 +301,7 @@
     fn take(&mut self, message: Message) {
         match message {
             Message::Input(input) => self.handle(input),
-            Message::Ask(ask, parts) => {
+            Message::Request(ask, parts) => {
                 self.callers.insert(ask.request, parts);
                 self.handle(Input::Request(ask));
             }
@@ -308,17 +315,20 @@
                 self.links.remove(&link);
                 self.handle(Input::LinkDown(link));
             }
-            Message::News(news) => self.adopt(news),
+            Message::Config(news) => self.apply(news),
             Message::Instances(instances) => self.note_instances(instances),
-            Message::With(with) => with(self),
+            Message::Execute(with) => with(self),
         }
     }
 
     fn frame(&mut self, link: Link, frame: Frame) {
         match frame {
-            Frame::Changes(changes) => self.adopt(News::Changes(changes)),
+            Frame::Changes(changes) => self.apply(Transfer::Changes(changes)),
             Frame::Snapshot { revision, entries } => {
-                self.adopt(News::Snapshot(spread::Snapshot { revision, entries }));
+                self.apply(Transfer::Snapshot(propagation::Snapshot {
+                    revision,
+                    entries,
+                }));
             }
             frame => self.handle(Input::Frame(link, frame)),
         }
@@ -335,13 +345,16 @@
     }
 
     /// Puts a newer configuration in force and passes it on.
-    pub fn adopt(&mut self, news: News) {
+    pub fn apply(&mut self, news: Transfer) {
         let before = self.config.revision();
-        let Some(tree) = spread::adopt(&mut self.config, news) else {
+        let Some(tree) = propagation::apply(&mut self.config, news) else {
             return;
         };
         info!("revision {} is in force", tree.revision());
-        self.metrics.gauges().since.set(self.clock.now().0 as i64);
+        self.metrics
+            .gauges()
+            .revision_since
+            .set(self.clock.now().0 as i64);
         *self.shared.tree.write().unwrap_or_else(|e| e.into_inner()) = tree.clone();
         self.handle(Input::Tree(tree));
         // The other ends get the changes at once, not after asking for them.
@@ -369,16 +382,16 @@
             Output::Rate(sample) => self.rate(sample),
             Output::Write(batch) => self.write(batch),
             Output::Behind(link) => {
-                if self.asker.may_ask(self.config.revision()) {
+                if self.asker.admits(self.config.revision()) {
                     self.post(link, Frame::FetchChanges(self.config.revision()));
                 }
             }
             Output::Ahead(link, revision) => {
-                let frame = spread::answer(&self.config, revision);
+                let frame = propagation::frame_since(&self.config, revision);
                 self.post(link, frame);
             }
             Output::Suspect(version) => warn!("version {version} is held back here"),
-            Output::RequestEnded(done) => self.metrics.ended(&done),
+            Output::RequestEnded(done) => self.metrics.record_request(&done),
             // Sidecars tell all entries what waits to be read.
             Output::Prefill(..) | Output::SessionPin(..) => {}
             Output::QuarantineUpdate(word) => self.tell_all(&word),
@@ -443,7 +456,7 @@
             let answer = Answer {
                 version: sample.version.clone(),
                 class: sample.class,
-                text: callers::text_of(&sample.answer),
+                text: callers::answer_text(&sample.answer),
             };
             // Without a rating the answer is simply not counted.
             if let Ok(score) = shared.platform.rate(&answer).await {
@@ -481,8 +494,8 @@
         gauges.in_flight.set(self.entry.in_flight() as i64);
         gauges.unbilled.set(self.entry.unbilled() as i64);
         gauges.set_traffic(&self.traffic);
-        self.metrics.set_promises(self.entry.invariants());
-        self.metrics.text()
+        self.metrics.set_invariants(self.entry.invariants());
+        self.metrics.encode()
     }
 }
 
--- a/crates/daemon/src/turn.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -14,9 +14,9 @@
 
 /// What a loop does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Flow {
     /// Go on.
-    Go,
+    Continue,
     /// End.
     End,
 }
@@ -27,7 +27,7 @@
     room: &mut R,
     receive: Receiver<M>,
     take: fn(&mut R, M),
-    mut tick: impl FnMut(&mut R) -> Next,
+    mut tick: impl FnMut(&mut R) -> Flow,
 ) {
     let mut ticked = Instant::now();
     // One timer for all turns: setting one for each message costs more than
@@ -48,7 +48,7 @@
             continue;
         }
         ticked = Instant::now();
-        if tick(room) == Next::End {
+        if tick(room) == Flow::End {
             return;
         }
     }
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// Fails when the signal cannot be caught.
-pub fn on_reload() -> std::io::Result<Arc<AtomicBool>> {
+pub fn reload_flag() -> std::io::Result<Arc<AtomicBool>> {
     let reload = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(signal_hook::consts::SIGHUP, reload.clone())?;
     Ok(reload)
@@ -95,7 +95,7 @@
 /// # Errors
 ///
 /// Fails when the signals cannot be caught.
-pub fn on_signal() -> std::io::Result<Arc<AtomicBool>> {
+pub fn stop_flag() -> std::io::Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         signal_hook::flag::register(signal, stop.clone())?;
--- a/crates/daemon/src/hosted/client.rs
+++ b/crates/daemon/src/hosted/client.rs
@@ -115,7 +115,7 @@
     async fn work(self, address: Option<SocketAddr>, start: Start) {
         let reply = match (self.exchange(address, start).await, address) {
             (Ok(()), _) => Reply::End,
-            (Err(failure), Some(address)) => Reply::Fail(loss::explain(failure, address).await),
+            (Err(failure), Some(address)) => Reply::Fail(loss::classify(failure, address).await),
             (Err(failure), None) => Reply::Fail(failure),
         };
         self.say(reply).await;
--- a/crates/daemon/src/hosted/event_loop.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -12,9 +12,9 @@
 use super::restorer::Restorer;
 use super::shared::{self, Shared};
 use crate::clock::{self, Clock};
+use crate::event_loop::{self, Flow};
 use crate::metrics::Metrics;
 use crate::options;
-use crate::turn::{self, Next};
 use async_channel::{Receiver, Sender};
 use async_std::task;
 use log::{info, warn};
@@ -262,11 +262,11 @@
             }
             room.tick(stopping.is_some());
             match stopping.is_some_and(|since| room.is_done(since)) {
-                true => Next::End,
-                false => Next::Go,
+                true => Flow::End,
+                false => Flow::Continue,
             }
         };
-        turn::run(&mut self, receive, EventLoop::take, tick).await;
+        event_loop::run(&mut self, receive, EventLoop::take, tick).await;
         info!("event=ended in_flight={}", self.entry.in_flight());
         // What was answered last still goes out.
         task::sleep(Duration::from_millis(60)).await;
@@ -662,7 +662,7 @@
     /// Tells which answers of the store were ignored.
     fn tell_of_ignored(&mut self) {
         for ignored in self.mirror.take_ignored() {
-            self.metrics.ignored();
+            self.metrics.count_ignored_page();
             warn!(
                 "event=page-ignored table={:?} version={} known={} era={}",
                 ignored.table,
@@ -891,7 +891,7 @@
             }
             Output::RecordQuarantine(news) => self.record(news),
             Output::RequestEnded(done) => {
-                self.metrics.ended(&done);
+                self.metrics.record_request(&done);
                 self.finished(&done);
             }
             // Nothing else is asked for where upstreams are called directly.
@@ -957,7 +957,7 @@
 
     /// Returns the figures of this process as text.
     pub fn metrics_text(&mut self) -> String {
-        self.metrics.set_promises(self.entry.invariants());
+        self.metrics.set_invariants(self.entry.invariants());
         let now = self.clock.now();
         for table in Table::ALL {
             let silence = self.answers.silence_ms(table, now);
@@ -968,11 +968,11 @@
         let gauges = self.metrics.gauges();
         gauges.revision.set(self.entry.tree().revision().0 as i64);
         gauges.in_flight.set(self.entry.in_flight() as i64);
-        gauges.held_back.set(self.entry.quarantined(now) as i64);
+        gauges.quarantined.set(self.entry.quarantined(now) as i64);
         let peers = self.entry.peers();
         gauges.cold.set(peers.cold(now) as i64);
         gauges.leaving.set(peers.leaving() as i64);
-        gauges.resting.set(peers.resting(now) as i64);
+        gauges.paused.set(peers.resting(now) as i64);
         gauges.limited.set(peers.limited() as i64);
         let evacuated = peers.hall_states().evacuated();
         gauges.evacuated.set(evacuated.len() as i64);
@@ -987,8 +987,10 @@
         gauges.links.set(self.upstreams.len() as i64);
         let age = self.relay.follow().age(now);
         gauges.era.set(self.mirror.era().0 as i64);
-        gauges.age.set(age.map_or(-1, |age| age.millis() as i64));
-        self.metrics.text()
+        gauges
+            .tables_age
+            .set(age.map_or(-1, |age| age.millis() as i64));
+        self.metrics.encode()
     }
 }
 
--- a/crates/daemon/src/hosted/mod.rs
+++ b/crates/daemon/src/hosted/mod.rs
@@ -36,8 +36,8 @@
 pub use shared::Shared;
 
 use crate::clock::{self, Clock};
+use crate::event_loop::Stop;
 use crate::options;
-use crate::turn::Stop;
 use ::log::info;
 use async_std::net::TcpListener;
 use async_std::task;
@@ -77,8 +77,8 @@
     let text = std::fs::read_to_string(&path).wrap_err("the settings file cannot be read")?;
     let settings = Settings::from_json(&text)?;
     let clock = Clock::start();
-    let stop = crate::turn::on_signal()?;
-    let reload = crate::turn::on_reload()?;
+    let stop = crate::event_loop::stop_flag()?;
+    let reload = crate::event_loop::reload_flag()?;
     task::spawn(watch_settings(path, settings.clone(), reload));
     let running = start(options, settings, clock, stop).await?;
     running.stop.ended().await;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -8,18 +8,18 @@
 pub mod admin;
 pub mod callers;
 pub mod clock;
-pub mod control;
+pub mod controller;
 pub mod entry;
+pub mod event_loop;
 pub mod hosted;
 pub mod links;
 pub mod loss;
 pub mod metrics;
 pub mod options;
 pub mod program;
+pub mod propagation;
 pub mod sidecar;
-pub mod spread;
 pub mod standalone;
-pub mod turn;
 pub mod upstream;
 
 pub use options::Options;
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -1,7 +1,7 @@
 //! Which sidecars an entry keeps links to, and how it gets them back.
 
 use crate::clock;
-use crate::clock::unit;
+use crate::clock::random_fraction;
 use crate::entry::Message;
 use async_channel::Sender;
 use async_std::sync::Mutex;
@@ -29,7 +29,7 @@
 
 /// What the keeper of links works with.
 #[derive(Clone)]
-pub struct Directory {
+pub struct Context {
     /// This instance.
     pub me: InstanceId,
     /// The run of this process.
@@ -49,7 +49,7 @@
 type Wanted = Arc<Mutex<BTreeSet<SocketAddr>>>;
 
 /// Keeps links to the sidecars of the subset for as long as the loop runs.
-pub async fn keep(directory: Directory) {
+pub async fn maintain(directory: Context) {
     let wanted: Wanted = Arc::default();
     let numbers = Arc::new(AtomicU64::new(1));
     let mut last: Option<Vec<Instance>> = None;
@@ -79,7 +79,7 @@
         }
         running.retain(|address| now.contains(address));
         *wanted.lock().await = now;
-        task::sleep(READ_EVERY.mul_f64(0.5 + unit())).await;
+        task::sleep(READ_EVERY.mul_f64(0.5 + random_fraction())).await;
     }
 }
 
@@ -102,7 +102,7 @@
 
 /// Keeps one link up for as long as it is wanted.
 struct Dialer {
-    directory: Directory,
+    directory: Context,
     address: SocketAddr,
     wanted: Wanted,
     numbers: Arc<AtomicU64>,
@@ -128,7 +128,7 @@
                     }
                 }
             }
-            task::sleep(pause.mul_f64(0.5 + unit())).await;
+            task::sleep(pause.mul_f64(0.5 + random_fraction())).await;
             pause = (pause * 2).min(LONGEST_PAUSE);
         }
     }
--- a/crates/daemon/src/loss.rs
+++ b/crates/daemon/src/loss.rs
@@ -9,7 +9,7 @@
 
 /// Returns a failure with its reason changed where the upstream is gone. It costs a
 /// connection for each run that broke; a crashed process refuses it within a round trip.
-pub async fn explain(mut failure: Failure, address: SocketAddr) -> Failure {
+pub async fn classify(mut failure: Failure, address: SocketAddr) -> Failure {
     let broke = failure.reason == Reason::UpstreamFailed && failure.verdict != Verdict::NotRun;
     if broke && reach::is_refused(address).await {
         failure.reason = Reason::UpstreamLost;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -61,23 +61,23 @@
     /// The revision in force.
     pub revision: Gauge,
     /// When that came in force, in microseconds since 1970-01-01 UTC.
-    pub since: Gauge,
+    pub revision_since: Gauge,
     /// The links that are up.
     pub links: Gauge,
     /// How old what is known of the platform's store is, in milliseconds.
-    pub age: Gauge,
+    pub tables_age: Gauge,
     /// The era that the platform's store told last, -1 if it told none.
     pub era: Gauge,
     /// The requests under way.
     pub in_flight: Gauge,
     /// The requests that are held back, since they crash upstreams.
-    pub held_back: Gauge,
+    pub quarantined: Gauge,
     /// The upstreams that count as cold, and get little.
     pub cold: Gauge,
     /// The upstreams that said that they leave.
     pub leaving: Gauge,
     /// The upstreams that asked this entry for rest.
-    pub resting: Gauge,
+    pub paused: Gauge,
     /// The upstreams that take only so many requests a second from all entries.
     pub limited: Gauge,
     /// The data halls that get no work.
@@ -93,11 +93,11 @@
     /// The bill records that are not known to be in the platform's store.
     pub unbilled: Gauge,
     /// The bytes sent over links.
-    pub sent: Gauge,
+    pub link_sent: Gauge,
     /// The bytes sent over links for control.
-    pub control: Gauge,
+    pub link_control: Gauge,
     /// The bytes received over links.
-    pub received: Gauge,
+    pub link_received: Gauge,
 }
 
 impl Default for Metrics {
@@ -162,13 +162,13 @@
             (
                 "revision_since_microseconds",
                 "When the revision came in force, since 1970-01-01 UTC",
-                &self.since,
+                &self.revision_since,
             ),
             ("links", "Links that are up", &self.links),
             (
                 "tables_age_milliseconds",
                 "Age of what is known of the platform's store by whatever way, -1 if nothing is",
-                &self.age,
+                &self.tables_age,
             ),
             (
                 "store_era",
@@ -179,7 +179,7 @@
             (
                 "held_back",
                 "Requests held back, since they crash upstreams",
-                &self.held_back,
+                &self.quarantined,
             ),
             (
                 "cold",
@@ -194,7 +194,7 @@
             (
                 "resting",
                 "Upstreams that asked this entry for rest, and get nothing until its end",
-                &self.resting,
+                &self.paused,
             ),
             (
                 "limited",
@@ -223,16 +223,16 @@
                 &self.fence,
             ),
             ("unbilled", "Bill records not yet stored", &self.unbilled),
-            ("link_sent_bytes", "Bytes sent over links", &self.sent),
+            ("link_sent_bytes", "Bytes sent over links", &self.link_sent),
             (
                 "link_control_bytes",
                 "Bytes sent over links for control",
-                &self.control,
+                &self.link_control,
             ),
             (
                 "link_received_bytes",
                 "Bytes received over links",
-                &self.received,
+                &self.link_received,
             ),
         ];
         for (name, help, gauge) in gauges {
@@ -242,10 +242,11 @@
 
     /// Reads off the bytes that went over links.
     pub fn set_traffic(&self, traffic: &Traffic) {
-        self.sent.set(traffic.sent.load(Ordering::Relaxed) as i64);
-        self.control
+        self.link_sent
+            .set(traffic.sent.load(Ordering::Relaxed) as i64);
+        self.link_control
             .set(traffic.control.load(Ordering::Relaxed) as i64);
-        self.received
+        self.link_received
             .set(traffic.received.load(Ordering::Relaxed) as i64);
     }
 }
@@ -257,7 +258,7 @@
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&self, done: &Summary) {
+    pub fn record_request(&self, done: &Summary) {
         let account = done
             .account
             .as_ref()
@@ -290,7 +291,7 @@
     }
 
     /// Reads off the promises.
-    pub fn set_promises(&self, promises: &Invariants) {
+    pub fn set_invariants(&self, promises: &Invariants) {
         for promise in Invariant::ALL {
             let label = OfPromise {
                 promise: promise.to_string(),
@@ -315,12 +316,12 @@
     }
 
     /// Counts an answer of the platform's store that changed nothing.
-    pub fn ignored(&self) {
+    pub fn count_ignored_page(&self) {
         self.ignored.inc();
     }
 
     /// Writes all metrics.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         let mut buf = String::new();
         // Writing to a string cannot fail.
         let _ = encode(&mut buf, &self.registry);
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -53,9 +53,9 @@
     #[bpaf(
         long,
         argument("SHARE,SHARE,SHARE"),
-        fallback(Accepted(CONFIDENCE_THRESHOLDS))
+        fallback(Thresholds(CONFIDENCE_THRESHOLDS))
     )]
-    pub accept: Accepted,
+    pub accept: Thresholds,
     /// Logs as text or json
     #[bpaf(external(log_format))]
     pub log: LogFormat,
@@ -238,9 +238,9 @@
 
 /// Confidences by the rank of routes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Accepted(pub [Share; 3]);
+pub struct Thresholds(pub [Share; 3]);
 
-impl std::str::FromStr for Accepted {
+impl std::str::FromStr for Thresholds {
     type Err = String;
 
     fn from_str(s: &str) -> Result<Self, String> {
@@ -248,7 +248,7 @@
         let shares = shares.map_err(|e| e.to_string())?;
         let three = <[Share; 3]>::try_from(shares);
         three
-            .map(Accepted)
+            .map(Thresholds)
             .map_err(|_| format!("{s:?} must name three shares, such as 50%,50%,50%"))
     }
 }
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/propagation.rs
@@ -6,7 +6,7 @@
 //! it lacks. So a change spreads also when the platform goes down just after,
 //! and an instance that starts empty during an outage learns it from others.
 
-use crate::clock::unit;
+use crate::clock::random_fraction;
 use async_channel::Sender;
 use async_std::task;
 use eyre::{bail, eyre, Result};
@@ -55,7 +55,7 @@
 
 /// What brings a process forward.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum Transfer {
     /// A whole configuration.
     Snapshot(Snapshot),
     /// The changes that follow.
@@ -64,7 +64,7 @@
 
 impl Snapshot {
     /// Makes the snapshot of a tree.
-    pub fn of(tree: &Tree) -> Snapshot {
+    pub fn from_tree(tree: &Tree) -> Snapshot {
         let entry = |(key, value): (&Key, &Value)| (key.to_string(), value.clone());
         Snapshot {
             revision: tree.revision(),
@@ -86,22 +86,22 @@
 
 /// Keeps a process that is behind from asking everyone at once.
 #[derive(Debug, Default)]
-pub struct Asker(Option<(Revision, Instant)>);
+pub struct Throttle(Option<(Revision, Instant)>);
 
-impl Asker {
+impl Throttle {
     /// Returns whether a process at revision `own` is to ask now: it has not
     /// asked since it came to that revision, or the answer is overdue.
     ///
     /// ```
     /// use sorreldeck::Revision;
-    /// use sorreldeckd::spread::Asker;
+    /// use sorreldeckd::propagation::Throttle;
     ///
-    /// let mut asker = Asker::default();
-    /// assert!(asker.may_ask(Revision(1)));
-    /// assert!(!asker.may_ask(Revision(1)));
-    /// assert!(asker.may_ask(Revision(2)));
+    /// let mut throttle = Throttle::default();
+    /// assert!(throttle.admits(Revision(1)));
+    /// assert!(!throttle.admits(Revision(1)));
+    /// assert!(throttle.admits(Revision(2)));
     /// ```
-    pub fn may_ask(&mut self, own: Revision) -> bool {
+    pub fn admits(&mut self, own: Revision) -> bool {
         let waits =
             |(revision, at): (Revision, Instant)| revision == own && at.elapsed() < ASK_AGAIN;
         if self.0.is_some_and(waits) {
@@ -113,15 +113,15 @@
 }
 
 /// Puts news in force; returns the tree if it has changed.
-pub fn adopt(config: &mut Config, news: News) -> Option<Arc<Tree>> {
+pub fn apply(config: &mut Config, news: Transfer) -> Option<Arc<Tree>> {
     let before = config.revision();
     let adopted = match news {
-        News::Snapshot(snapshot) => {
+        Transfer::Snapshot(snapshot) => {
             let revision = snapshot.revision;
             let replaced = snapshot.keyed().and_then(|e| config.replace(revision, e));
             replaced.map(drop)
         }
-        News::Changes(changes) => apply_all(config, &changes),
+        Transfer::Changes(changes) => apply_all(config, &changes),
     };
     if let Err(e) = adopted {
         // An accepted change was checked, so this one came from a program of
@@ -141,11 +141,11 @@
 }
 
 /// Returns the frame that brings a process at `theirs` forward.
-pub fn answer(config: &Config, theirs: Revision) -> Frame {
+pub fn frame_since(config: &Config, theirs: Revision) -> Frame {
     match config.since(theirs) {
         Some(changes) => Frame::Changes(changes),
         None => {
-            let Snapshot { revision, entries } = Snapshot::of(config.tree());
+            let Snapshot { revision, entries } = Snapshot::from_tree(config.tree());
             Frame::Snapshot { revision, entries }
         }
     }
@@ -156,7 +156,7 @@
 /// # Errors
 ///
 /// Fails when the platform is out of reach.
-pub async fn fetch(platform: &Platform, known: Revision) -> Result<Option<News>> {
+pub async fn fetch(platform: &Platform, known: Revision) -> Result<Option<Transfer>> {
     let Some(head) = read_head(platform).await?.map(|(head, _)| head) else {
         return Ok(None);
     };
@@ -166,17 +166,17 @@
     let behind = head.revision.0 - known.0;
     if known > Revision(0) && behind <= SNAPSHOT_EVERY {
         let changes = read_changes(platform, known, head.revision).await?;
-        return Ok(Some(News::Changes(changes)));
+        return Ok(Some(Transfer::Changes(changes)));
     }
     let Some(name) = head.snapshot else {
         let changes = read_changes(platform, known, head.revision).await?;
-        return Ok(Some(News::Changes(changes)));
+        return Ok(Some(Transfer::Changes(changes)));
     };
     let data = platform
         .get_object(&name)
         .await?
         .ok_or_else(|| eyre!("the object {name} is gone"))?;
-    Ok(Some(News::Snapshot(serde_json::from_slice(&data)?)))
+    Ok(Some(Transfer::Snapshot(serde_json::from_slice(&data)?)))
 }
 
 async fn read_head(platform: &Platform) -> Result<Option<(Head, u64)>, Trouble> {
@@ -204,18 +204,18 @@
 
 /// Reads the head at jittered intervals and sends the loop what is news, for as
 /// long as the loop runs.
-pub async fn poll<M>(platform: Platform, send: Sender<M>, message: fn(News) -> M) {
+pub async fn poll<M>(platform: Platform, send: Sender<M>, message: fn(Transfer) -> M) {
     let mut known = Revision(0);
     while !send.is_closed() {
         if let Ok(Some(news)) = fetch(&platform, known).await {
             known = match &news {
-                News::Snapshot(snapshot) => snapshot.revision,
-                News::Changes(changes) => changes.last().map_or(known, |c| c.revision),
+                Transfer::Snapshot(snapshot) => snapshot.revision,
+                Transfer::Changes(changes) => changes.last().map_or(known, |c| c.revision),
             };
             // A loop that has ended wants no news.
             let _ = send.send(message(news)).await;
         }
-        task::sleep(POLL.mul_f64(0.5 + unit())).await;
+        task::sleep(POLL.mul_f64(0.5 + random_fraction())).await;
     }
 }
 
@@ -230,12 +230,12 @@
     /// it with the same ticket tells.
     Unknown(String),
     /// The platform is out of reach; it is not accepted.
-    Down(String),
+    Unavailable(String),
 }
 
 /// A change that an operator or controller wants.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct Proposal {
     /// Who wants it.
     pub author: String,
     /// The number by which a repeated try is recognised.
@@ -251,7 +251,11 @@
 /// # Errors
 ///
 /// Fails with [`Category::Invalid`] when the change breaks a rule of the tree.
-pub async fn accept(platform: &Platform, base: &Tree, wish: Wish) -> sorreldeck::Result<Outcome> {
+pub async fn submit(
+    platform: &Platform,
+    base: &Tree,
+    wish: Proposal,
+) -> sorreldeck::Result<Outcome> {
     let revision = base.revision().next();
     let change = Change {
         revision,
@@ -263,14 +267,14 @@
     let (head, version) = match read_head(platform).await {
         Ok(Some(known)) => known,
         Ok(None) => (Head::default(), 0),
-        Err(trouble) => return Ok(Outcome::Down(trouble.to_string())),
+        Err(trouble) => return Ok(Outcome::Unavailable(trouble.to_string())),
     };
     if head.revision != base.revision() {
         return Ok(Outcome::Conflict(head.revision));
     }
     let snapshot = match snapshot(platform, &tree, &head, change.ticket).await {
         Ok(snapshot) => snapshot,
-        Err(trouble) => return Ok(Outcome::Down(trouble.to_string())),
+        Err(trouble) => return Ok(Outcome::Unavailable(trouble.to_string())),
     };
     let head = Head { revision, snapshot };
     let transaction = transaction(&head, version, &change, wish.lease)?;
@@ -278,7 +282,7 @@
         Ok(Commit::Done) => Ok(Outcome::Accepted(change)),
         Ok(Commit::Conflict(_)) => Ok(settle(platform, change).await),
         Err(Trouble::Unknown(_)) => Ok(settle(platform, change).await),
-        Err(trouble) => Ok(Outcome::Down(trouble.to_string())),
+        Err(trouble) => Ok(Outcome::Unavailable(trouble.to_string())),
     }
 }
 
@@ -295,8 +299,8 @@
     }
     // The ticket keeps two operators that race from writing the same object.
     let name = format!("config/snapshot/{revision}-{ticket:016x}");
-    let data =
-        serde_json::to_vec(&Snapshot::of(tree)).map_err(|e| Trouble::Refused(e.to_string()))?;
+    let data = serde_json::to_vec(&Snapshot::from_tree(tree))
+        .map_err(|e| Trouble::Refused(e.to_string()))?;
     platform.put_object(&name, data).await?;
     Ok(Some(name))
 }
--- a/crates/daemon/src/sidecar.rs
+++ b/crates/daemon/src/sidecar.rs
@@ -1,10 +1,10 @@
 //! The sidecar's loop and what feeds it.
 
 use crate::clock::{self, Clock};
+use crate::event_loop::{self, Flow, Stop};
 use crate::metrics::Metrics;
 use crate::options;
-use crate::spread::{self, Asker, News};
-use crate::turn::{self, Next, Stop};
+use crate::propagation::{self, Throttle, Transfer};
 use crate::upstream::{self, Handle};
 use async_channel::{Receiver, Sender};
 use async_std::net::TcpListener;
@@ -37,7 +37,7 @@
     Input(Input),
     LinkUp(Link, Outbox),
     Link(Event),
-    News(News),
+    Config(Transfer),
     Metrics(Sender<String>),
 }
 
@@ -59,7 +59,7 @@
 /// Fails when an address cannot be listened on.
 pub async fn run(settings: options::Sidecar) -> Result<()> {
     let platform = Platform::connect(settings.platform);
-    let stop = turn::on_signal()?;
+    let stop = event_loop::stop_flag()?;
     let running = start(settings, platform, stop).await?;
     println!("links on {}, health on {}", running.address, running.health);
     running.stop.ended().await;
@@ -85,7 +85,7 @@
     let incarnation = Incarnation(u64::from_le_bytes(clock::random()));
     info!("sidecar {} starts as {incarnation}", settings.name);
     let config = Config::default();
-    let room = Room {
+    let room = EventLoop {
         sidecar: Sidecar::new(Settings {
             upstream: settings.name.clone(),
             pool: settings.pool.clone(),
@@ -105,7 +105,7 @@
         runs: HashMap::new(),
         metrics: Metrics::default(),
         traffic: Arc::default(),
-        asker: Asker::default(),
+        asker: Throttle::default(),
         violated: 0,
         send: send.clone(),
     };
@@ -116,7 +116,7 @@
         send.clone(),
         traffic,
     ));
-    task::spawn(spread::poll(platform, send.clone(), Message::News));
+    task::spawn(propagation::poll(platform, send.clone(), Message::Config));
     task::spawn(http::serve(health, app(send)));
     let flag = stop.clone();
     task::spawn(async move {
@@ -165,7 +165,7 @@
 }
 
 /// What the loop holds.
-struct Room {
+struct EventLoop {
     sidecar: Sidecar,
     config: Config,
     clock: Clock,
@@ -176,15 +176,15 @@
     runs: HashMap<Run, Handle>,
     metrics: Metrics,
     traffic: Arc<Traffic>,
-    asker: Asker,
+    asker: Throttle,
     violated: u64,
     send: Sender<Message>,
 }
 
-impl Room {
+impl EventLoop {
     async fn work(mut self, receive: Receiver<Message>, stop: Arc<AtomicBool>) {
         let mut stopping: Option<Instant> = None;
-        let tick = |room: &mut Room| {
+        let tick = |room: &mut EventLoop| {
             room.handle(Input::Tick);
             room.watch_promises();
             if stop.load(Ordering::Relaxed) && stopping.is_none() {
@@ -193,11 +193,11 @@
                 room.handle(Input::Drain);
             }
             match stopping.is_some_and(|since| room.is_done(since)) {
-                true => Next::End,
-                false => Next::Go,
+                true => Flow::End,
+                false => Flow::Continue,
             }
         };
-        turn::run(&mut self, receive, Room::take, tick).await;
+        event_loop::run(&mut self, receive, EventLoop::take, tick).await;
         info!("the sidecar has ended");
         self.close_links().await;
     }
@@ -230,7 +230,7 @@
                 self.links.remove(&link);
                 self.handle(Input::LinkDown(link));
             }
-            Message::News(news) => self.adopt(news),
+            Message::Config(news) => self.adopt(news),
             Message::Metrics(reply) => {
                 let _ = reply.try_send(self.metrics_text());
             }
@@ -239,18 +239,24 @@
 
     fn frame(&mut self, link: Link, frame: Frame) {
         match frame {
-            Frame::Changes(changes) => self.adopt(News::Changes(changes)),
+            Frame::Changes(changes) => self.adopt(Transfer::Changes(changes)),
             Frame::Snapshot { revision, entries } => {
-                self.adopt(News::Snapshot(spread::Snapshot { revision, entries }));
+                self.adopt(Transfer::Snapshot(propagation::Snapshot {
+                    revision,
+                    entries,
+                }));
             }
             frame => self.handle(Input::Frame(link, frame)),
         }
     }
 
-    fn adopt(&mut self, news: News) {
-        if let Some(tree) = spread::adopt(&mut self.config, news) {
+    fn adopt(&mut self, news: Transfer) {
+        if let Some(tree) = propagation::apply(&mut self.config, news) {
             info!("revision {} is in force", tree.revision());
-            self.metrics.gauges().since.set(self.clock.now().0 as i64);
+            self.metrics
+                .gauges()
+                .revision_since
+                .set(self.clock.now().0 as i64);
             self.handle(Input::Tree(tree));
         }
     }
@@ -272,7 +278,7 @@
                     // The loop outlives every run, unless the process ends.
                     let _ = send.try_send(Message::Input(Input::Upstream(run, event)));
                 };
-                let handle = upstream::open(&self.client, self.upstream, *start, tell);
+                let handle = upstream::spawn(&self.client, self.upstream, *start, tell);
                 self.runs.insert(run, handle);
             }
             Output::Abort(run) => {
@@ -283,12 +289,12 @@
             Output::Closed(run) => drop(self.runs.remove(&run)),
             Output::Write(batch) => self.write(batch),
             Output::Behind(link) => {
-                if self.asker.may_ask(self.config.revision()) {
+                if self.asker.admits(self.config.revision()) {
                     self.post(link, Frame::FetchChanges(self.config.revision()));
                 }
             }
             Output::Ahead(link, revision) => {
-                let frame = spread::answer(&self.config, revision);
+                let frame = propagation::frame_since(&self.config, revision);
                 self.post(link, frame);
             }
         }
@@ -327,8 +333,8 @@
         gauges.in_flight.set(i64::from(self.sidecar.load().running));
         gauges.unbilled.set(self.sidecar.unbilled() as i64);
         gauges.set_traffic(&self.traffic);
-        self.metrics.set_promises(self.sidecar.invariants());
-        self.metrics.text()
+        self.metrics.set_invariants(self.sidecar.invariants());
+        self.metrics.encode()
     }
 }
 
--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -2,7 +2,7 @@
 //! process, so that a newcomer sees an answer after one command.
 
 use crate::options::{self, LogFormat};
-use crate::{entry, sidecar, spread, turn};
+use crate::{entry, event_loop, propagation, sidecar};
 use async_std::task;
 use eyre::{eyre, Result};
 use sorreldeck::tree::{self, Edit, Tree};
@@ -32,7 +32,7 @@
 ///
 /// Fails when the address cannot be listened on.
 pub async fn run(settings: options::Standalone) -> Result<()> {
-    let stop = turn::on_signal()?;
+    let stop = event_loop::stop_flag()?;
     let running = start(settings.listen, TREE, stop).await?.entry;
     let address = running.address;
     println!("sorreldeck answers on http://{address}, try:");
@@ -124,14 +124,14 @@
         old: None,
         new: Some(value),
     };
-    let wish = spread::Wish {
+    let wish = propagation::Proposal {
         author: "standalone".into(),
         ticket: 1,
         edits: entries.into_iter().map(put).collect(),
         lease: None,
     };
-    match spread::accept(platform, &Tree::default(), wish).await? {
-        spread::Outcome::Accepted(_) => Ok(()),
+    match propagation::submit(platform, &Tree::default(), wish).await? {
+        propagation::Outcome::Accepted(_) => Ok(()),
         other => Err(eyre!("the sample tree was not accepted: {other:?}")),
     }
 }
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -28,7 +28,7 @@
 ];
 
 /// Returns whether a header is passed on.
-pub fn passes(name: &str) -> bool {
+pub fn is_end_to_end(name: &str) -> bool {
     !HOP.contains(&name) && name != header::RUN
 }
 
@@ -44,7 +44,7 @@
 }
 
 /// Starts a run; what the upstream does is told through `tell`.
-pub fn open(
+pub fn spawn(
     client: &Client,
     address: SocketAddr,
     start: Start,
@@ -126,7 +126,7 @@
         let work = async {
             match self.work(start, tell).await {
                 Ok(()) => Some(Ok(())),
-                Err(failure) => Some(Err(loss::explain(failure, self.address).await)),
+                Err(failure) => Some(Err(loss::classify(failure, self.address).await)),
             }
         };
         let result = work.or(stop).await;
@@ -152,7 +152,7 @@
         }
         let streamed = find_header(&incoming.headers, "content-type")
             .is_some_and(|v| v.starts_with("text/event-stream"));
-        let headers = incoming.headers.iter().filter(|h| passes(&h.name));
+        let headers = incoming.headers.iter().filter(|h| is_end_to_end(&h.name));
         let head = Event::Head {
             status: incoming.status,
             headers: headers.cloned().collect(),
--- a/crates/daemon/tests/hosted/main.rs
+++ b/crates/daemon/tests/hosted/main.rs
@@ -129,7 +129,7 @@
         session_keys: keys.parse().unwrap(),
         metrics: None,
         policy: Default::default(),
-        accept: options::Accepted(sorreldeck::entry::CONFIDENCE_THRESHOLDS),
+        accept: options::Thresholds(sorreldeck::entry::CONFIDENCE_THRESHOLDS),
         log: LogFormat::Json,
     };
     let stop = Arc::new(AtomicBool::new(false));
--- a/crates/daemon/tests/regression/second_change_was_not_asked_for.rs
+++ b/crates/daemon/tests/regression/second_change_was_not_asked_for.rs
@@ -3,16 +3,13 @@
 //! until the next heartbeat, a second later.
 
 use sorreldeck::Revision;
-use sorreldeckd::spread::Asker;
+use sorreldeckd::propagation::Throttle;
 
 #[test]
 fn a_process_that_has_come_forward_may_ask_at_once() {
-    let mut asker = Asker::default();
+    let mut asker = Throttle::default();
     for revision in 1..100 {
-        assert!(asker.may_ask(Revision(revision)));
-        assert!(
-            !asker.may_ask(Revision(revision)),
-            "an answer is on its way"
-        );
+        assert!(asker.admits(Revision(revision)));
+        assert!(!asker.admits(Revision(revision)), "an answer is on its way");
     }
 }
