--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -8,33 +8,33 @@
 use sorreldeck_net::link::Keys;
 use std::net::SocketAddr;
 
-/// What a daemon is to be.
+/// The role of a daemon and its settings.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, fallback_to_usage)]
 /// The daemon of sorreldeck, a model-aware router for versions and cascades.
 ///
-/// One daemon has one role. Entries face callers and operators; a sidecar
-/// stands before each upstream; `standalone` is both in one process, with
-/// sample upstreams, to try things out.
+/// A daemon has one role. Entries serve callers and operators; each upstream
+/// has a sidecar as its proxy; `standalone` runs both in one process, with
+/// sample upstreams, for evaluation.
 pub enum Options {
-    /// Face callers and operators
+    /// Serve callers and operators
     #[bpaf(command)]
     Entry(#[bpaf(external(entry))] Entry),
-    /// Stand before one upstream
+    /// Proxy the requests to one upstream
     #[bpaf(command)]
     Sidecar(#[bpaf(external(sidecar))] Sidecar),
-    /// Serve a sample of everything in one process
+    /// Run an entry, sidecars and sample upstreams in one process
     #[bpaf(command)]
     Standalone(#[bpaf(external(standalone))] Standalone),
-    /// Face callers and call upstreams directly, on a platform that runs the instances
+    /// Serve callers and call upstreams directly, on a platform that manages the instances
     #[bpaf(command)]
     Hosted(#[bpaf(external(hosted))] Hosted),
 }
 
-/// The settings of a hosted entry besides those that the platform tells.
+/// The settings of a hosted entry that the platform does not provide.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Hosted {
-    /// The settings file of the platform; the platform names it otherwise
+    /// The settings file of the platform; by default the path that the platform provides
     #[bpaf(long, argument("FILE"), optional)]
     pub settings: Option<std::path::PathBuf>,
     /// Keys of links between processes, ID:HEX,..., the one in use first
@@ -43,20 +43,20 @@
     /// Keys of session tokens, ID:HEX,..., the one in use first
     #[bpaf(long, env("SORRELDECK_SESSION_KEYS"), argument("KEYS"))]
     pub session_keys: Keyring,
-    /// The port of the metrics; none are told otherwise
+    /// The port of the metrics endpoint; without it no metrics are served
     #[bpaf(long, argument("PORT"), optional)]
     pub metrics: Option<u16>,
     /// How an upstream is chosen: first-token, or a baseline: round-robin, least-in-flight, two-choices
     #[bpaf(long, argument("POLICY"), fallback(Policy::FirstToken))]
     pub policy: Policy,
-    /// The confidence from which a small model's answer is given, for routes of rank 0, 1, and 2 and more
+    /// The minimum confidence of a small model's answer that is returned, for routes of rank 0, 1, and 2 and above
     #[bpaf(
         long,
         argument("SHARE,SHARE,SHARE"),
         fallback(Thresholds(CONFIDENCE_THRESHOLDS))
     )]
     pub accept: Thresholds,
-    /// Logs as text or json
+    /// The format of log lines
     #[bpaf(external(log_format))]
     pub log: LogFormat,
 }
@@ -67,7 +67,7 @@
     /// The name of this instance
     #[bpaf(long, env("SORRELDECK_NAME"), argument("NAME"))]
     pub name: InstanceId,
-    /// The address for callers and operators; port 0 lets the system choose
+    /// The listening address for callers and operators; with port 0 the system chooses one
     #[bpaf(
         long,
         env("SORRELDECK_LISTEN"),
@@ -85,10 +85,10 @@
     /// Keys of session tokens, ID:HEX,..., the one in use first
     #[bpaf(long, env("SORRELDECK_SESSION_KEYS"), argument("KEYS"))]
     pub session_keys: Keyring,
-    /// The hash of a token that may edit the whole tree, for the first set-up
+    /// The hash of a token that may edit the whole settings tree, for the initial set-up
     #[bpaf(long, env("SORRELDECK_ROOT_TOKEN"), argument("HASH"), optional)]
     pub root_token: Option<String>,
-    /// A sidecar's link address that is tried besides the platform's list
+    /// The link address of a sidecar to connect to in addition to those in the platform's list
     #[bpaf(long("sidecar"), argument("IP:PORT"), many)]
     pub sidecars: Vec<SocketAddr>,
     /// How an upstream is chosen: first-token, or a baseline: round-robin, least-in-flight, two-choices
@@ -99,7 +99,7 @@
         fallback(Policy::FirstToken)
     )]
     pub policy: Policy,
-    /// The share of answers that are sent to the rating service
+    /// The share of answers that is sent to the rating service
     #[bpaf(
         long,
         env("SORRELDECK_SAMPLE"),
@@ -108,7 +108,7 @@
         display_fallback
     )]
     pub sample: Share,
-    /// How a new version is judged: sequential, or a baseline: window
+    /// How a new version is evaluated: sequential, or a baseline: window
     #[bpaf(
         long,
         env("SORRELDECK_JUDGE"),
@@ -116,10 +116,10 @@
         fallback(Judge::Sequential)
     )]
     pub judge: Judge,
-    /// Divide limits evenly over the entries, whatever the demand (a baseline)
+    /// Divide limits evenly over the entries, regardless of demand (a baseline)
     #[bpaf(long, switch)]
     pub even_limits: bool,
-    /// How long requests are still taken after SIGTERM, while the balancer notices
+    /// How long requests are still accepted after SIGTERM, until the load balancer stops sending them
     #[bpaf(
         long,
         env("SORRELDECK_GRACE"),
@@ -128,7 +128,7 @@
         display_fallback
     )]
     pub grace: Span,
-    /// Logs as text or json
+    /// The format of log lines
     #[bpaf(external(log_format))]
     pub log: LogFormat,
 }
@@ -148,7 +148,7 @@
     /// The address of the upstream
     #[bpaf(long, env("SORRELDECK_UPSTREAM"), argument("IP:PORT"))]
     pub upstream: SocketAddr,
-    /// The address for links; port 0 lets the system choose
+    /// The listening address for links; with port 0 the system chooses one
     #[bpaf(
         long,
         env("SORRELDECK_LISTEN"),
@@ -157,7 +157,7 @@
         display_fallback
     )]
     pub listen: SocketAddr,
-    /// The address for health checks and metrics; port 0 lets the system choose
+    /// The listening address for health checks and metrics; with port 0 the system chooses one
     #[bpaf(
         long,
         env("SORRELDECK_HEALTH"),
@@ -172,7 +172,7 @@
     /// Keys of links between processes, ID:HEX,..., the one in use first
     #[bpaf(long, env("SORRELDECK_LINK_KEYS"), argument("KEYS"))]
     pub link_keys: Keys,
-    /// The requests that the upstream runs at a time
+    /// The number of requests that the upstream runs concurrently
     #[bpaf(
         long,
         env("SORRELDECK_SLOTS"),
@@ -181,7 +181,7 @@
         display_fallback
     )]
     pub slots: u32,
-    /// The slots kept for the priority class
+    /// The number of slots reserved for the priority class
     #[bpaf(
         long,
         env("SORRELDECK_RESERVE"),
@@ -190,7 +190,7 @@
         display_fallback
     )]
     pub reserve: u32,
-    /// The prompt tokens that the upstream works through in a second
+    /// The prefill rate of the upstream, in prompt tokens per second
     #[bpaf(
         long,
         env("SORRELDECK_PREFILL"),
@@ -202,10 +202,10 @@
     /// The upstream is a plain service, not a model engine
     #[bpaf(long, switch)]
     pub plain: bool,
-    /// First come first served, without shedding (a baseline)
+    /// Serve requests in order of arrival, without load shedding (a baseline)
     #[bpaf(long, switch)]
     pub fifo: bool,
-    /// Logs as text or json
+    /// The format of log lines
     #[bpaf(external(log_format))]
     pub log: LogFormat,
 }
@@ -213,7 +213,7 @@
 /// The settings of the standalone role.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Standalone {
-    /// The address for callers and operators; port 0 lets the system choose
+    /// The listening address for callers and operators; with port 0 the system chooses one
     #[bpaf(
         long,
         env("SORRELDECK_LISTEN"),
@@ -222,21 +222,21 @@
         display_fallback
     )]
     pub listen: SocketAddr,
-    /// Logs as text or json
+    /// The format of log lines
     #[bpaf(external(log_format))]
     pub log: LogFormat,
 }
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Confidences by the rank of routes.
+/// Minimum confidences, by the rank of the route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds(pub [Share; 3]);
 
@@ -246,10 +246,10 @@
     fn from_str(s: &str) -> Result<Self, String> {
         let shares: Result<Vec<Share>, _> = s.split(',').map(str::parse).collect();
         let shares = shares.map_err(|e| e.to_string())?;
-        let three = <[Share; 3]>::try_from(shares);
-        three
-            .map(Thresholds)
-            .map_err(|_| format!("{s:?} must name three shares, such as 50%,50%,50%"))
+        let thresholds = <[Share; 3]>::try_from(shares);
+        thresholds.map(Thresholds).map_err(|_| {
+            format!("expected three comma-separated shares such as 50%,50%,50%, got {s:?}")
+        })
     }
 }
 
@@ -260,7 +260,7 @@
         match s {
             "text" => Ok(LogFormat::Text),
             "json" => Ok(LogFormat::Json),
-            _ => Err(format!("{s:?} is no log format: text and json are")),
+            _ => Err(format!("unknown log format {s:?}: expected text or json")),
         }
     }
 }
@@ -269,13 +269,13 @@
     use bpaf::Parser;
     bpaf::long("log")
         .env("SORRELDECK_LOG")
-        .help("How log lines are written: text or json")
+        .help("The format of log lines: text or json")
         .argument::<LogFormat>("FORMAT")
         .fallback(LogFormat::Text)
 }
 
 impl Options {
-    /// Returns how log lines are written.
+    /// Returns the format of log lines.
     pub fn log_format(&self) -> LogFormat {
         match self {
             Options::Entry(entry) => entry.log,
