--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's loop and what feeds it.
+//! The event loop of an entry and the tasks that send messages to it.
 
 use crate::admin;
 use crate::callers;
@@ -31,53 +31,54 @@
 use std::sync::{Arc, RwLock};
 use std::time::{Duration, Instant};
 
-/// How long a stopping entry goes on with what is under way.
+/// The time that a stopping entry has to finish the requests in progress.
 const STOP_TIMEOUT: Duration = Duration::from_secs(120);
-/// The heartbeats on one link: with many links they come less often, so that
-/// all of them together stay within the budget for control.
+/// The heartbeat interval of a link grows by this much per link, within the limits
+/// below, so that the heartbeats of all links stay within the bandwidth budget for
+/// control traffic.
 const HEARTBEAT_PER_LINK: Duration = Duration::from_millis(50);
 const HEARTBEAT_MIN: Duration = Duration::from_millis(1000);
 const HEARTBEAT_MAX: Duration = Duration::from_millis(2500);
 
-/// What reaches the loop.
+/// A message to the event loop.
 pub enum Message {
-    /// Something for the decisions.
+    /// An input of the entry's state machine.
     Input(Input),
-    /// A request and where its answer goes.
+    /// A request and the channel for its answer.
     Request(Box<sorreldeck::entry::Request>, Sender<Part>),
-    /// A link is up; the name is that of the platform's list.
+    /// A link was established.
     LinkUp(Link, Outbox),
-    /// Something happened on a link.
+    /// An event on a link.
     Link(Event),
-    /// A newer configuration.
+    /// A configuration update.
     Config(Transfer),
     /// The platform's list of instances.
     Instances(Vec<Instance>),
-    /// Something that only the loop can do; the closure says what.
+    /// A closure to run on the event loop.
     Execute(Box<dyn FnOnce(&mut EventLoop) + Send>),
 }
 
-/// What handlers share with the loop.
+/// State that handlers share with the event loop.
 #[derive(Clone)]
 pub struct Shared {
-    /// The way to the loop.
+    /// The channel to the event loop.
     pub send: Sender<Message>,
-    /// The configuration in force, for what a handler must know by itself.
+    /// The configuration in force, for handlers that read it without the event loop.
     pub tree: Arc<RwLock<Arc<Tree>>>,
     /// The platform.
     pub platform: Platform,
-    /// The hash of the token that may edit everything, from the settings.
+    /// The hash of the token that may edit the whole settings tree, from the daemon's settings.
     pub root_token: Option<String>,
-    /// The instance and run of this process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Calls of the old scripts.
+    /// The HTTP client for calls that are forwarded to legacy scripts.
     pub client: http::Client,
     ready: Arc<AtomicBool>,
     next: Arc<AtomicU64>,
 }
 
 impl Shared {
-    /// Returns the identity of the next request.
+    /// Returns the identifier of the next request.
     pub fn next_request(&self) -> RequestId {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         RequestId::new(self.incarnation.0, number)
@@ -89,24 +90,24 @@
         tree.clone()
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether this entry accepts requests.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Has the loop do something and returns what it says, or `None` if the
+    /// Runs a closure on the event loop and returns its result, or `None` if the
     /// loop has ended.
     pub async fn query<T: Send + 'static>(
         &self,
-        ask: impl FnOnce(&mut EventLoop) -> T + Send + 'static,
+        query: impl FnOnce(&mut EventLoop) -> T + Send + 'static,
     ) -> Option<T> {
         let (reply, answer) = async_channel::bounded(1);
-        let with = move |room: &mut EventLoop| {
-            // The handler may have gone; then nobody wants the answer.
-            let _ = reply.try_send(ask(room));
+        let execute = move |event_loop: &mut EventLoop| {
+            // Fails if the handler was dropped; the result is then not needed.
+            let _ = reply.try_send(query(event_loop));
         };
         self.send
-            .send(Message::Execute(Box::new(with)))
+            .send(Message::Execute(Box::new(execute)))
             .await
             .ok()?;
         answer.recv().await.ok()
@@ -116,19 +117,19 @@
 /// A running entry.
 #[derive(Clone)]
 pub struct Running {
-    /// The address for callers and operators.
+    /// The listening address for callers and operators.
     pub address: SocketAddr,
-    /// What handlers share with the loop.
+    /// State that handlers share with the event loop.
     pub shared: Shared,
-    /// The planned stop.
+    /// The handle for a graceful stop.
     pub stop: Stop,
 }
 
-/// Runs an entry until it is told to stop by SIGTERM or SIGINT.
+/// Runs an entry until SIGTERM or SIGINT stops it.
 ///
 /// # Errors
 ///
-/// Fails when the address cannot be listened on.
+/// Fails if the address cannot be bound or the signal handlers cannot be installed.
 pub async fn run(settings: options::Entry) -> Result<()> {
     let platform = Platform::connect(settings.platform);
     let stop = event_loop::stop_flag()?;
@@ -142,7 +143,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the address cannot be listened on.
+/// Fails if the address cannot be bound.
 pub async fn start(
     settings: options::Entry,
     platform: Platform,
@@ -174,7 +175,7 @@
     decisions.sample = settings.sample;
     decisions.judge = settings.judge;
     decisions.even_limits = settings.even_limits;
-    let room = EventLoop {
+    let event_loop = EventLoop {
         entry: Entry::new(decisions),
         config: Config::default(),
         clock: Clock::start(),
@@ -183,8 +184,8 @@
         metrics: Metrics::default(),
         traffic: Arc::default(),
         instances: Vec::new(),
-        asker: Throttle::default(),
-        beat: Instant::now(),
+        throttle: Throttle::default(),
+        last_heartbeat: Instant::now(),
         violated: 0,
         shared: shared.clone(),
     };
@@ -195,7 +196,7 @@
         keys: settings.link_keys.clone(),
         fixed: settings.sidecars.clone(),
         send: send.clone(),
-        traffic: room.traffic.clone(),
+        traffic: event_loop.traffic.clone(),
     };
     task::spawn(links::maintain(directory));
     task::spawn(propagation::poll(
@@ -211,7 +212,7 @@
     let flag = stop.clone();
     let grace = settings.grace.into();
     task::spawn(async move {
-        room.work(receive, flag, grace).await;
+        event_loop.run(receive, flag, grace).await;
         drop(end);
     });
     Ok(Running {
@@ -228,50 +229,53 @@
     app
 }
 
-/// What the loop holds.
+/// The event loop of an entry and its state.
 pub struct EventLoop {
-    /// The decisions.
+    /// The state machine that makes the decisions.
     pub entry: Entry,
-    /// The configuration and its last changes.
+    /// The configuration and its latest changes.
     pub config: Config,
-    /// The clock.
+    /// The clock from which the state machine gets the time.
     pub clock: Clock,
-    /// The metrics.
+    /// The metrics of this process.
     pub metrics: Metrics,
     /// The latest list of instances.
     pub instances: Vec<Instance>,
     links: HashMap<Link, Outbox>,
     callers: HashMap<RequestId, Sender<Part>>,
     traffic: Arc<Traffic>,
-    asker: Throttle,
-    beat: Instant,
+    throttle: Throttle,
+    last_heartbeat: Instant,
     violated: u64,
     shared: Shared,
 }
 
 impl EventLoop {
-    async fn work(mut self, receive: Receiver<Message>, stop: Arc<AtomicBool>, grace: Duration) {
+    async fn run(mut self, receive: Receiver<Message>, stop: Arc<AtomicBool>, grace: Duration) {
         let mut stopping: Option<Instant> = None;
-        let tick = |room: &mut EventLoop| {
-            room.tick(stopping.is_some());
+        let tick = |event_loop: &mut EventLoop| {
+            event_loop.tick(stopping.is_some());
             if stop.load(Ordering::Relaxed) && stopping.is_none() {
-                info!("the entry leaves");
+                info!("entry is stopping");
                 stopping = Some(Instant::now());
             }
-            match stopping.is_some_and(|since| room.is_done(since, grace)) {
+            match stopping.is_some_and(|since| event_loop.is_done(since, grace)) {
                 true => Flow::End,
                 false => Flow::Continue,
             }
         };
-        event_loop::run(&mut self, receive, EventLoop::take, tick).await;
+        event_loop::run(&mut self, receive, EventLoop::handle_message, tick).await;
         if !self.entry.record_stop() {
-            warn!("the stop cuts {} requests", self.entry.in_flight());
+            warn!(
+                "entry stopped with {} requests in progress",
+                self.entry.in_flight()
+            );
         }
-        info!("the entry has ended");
+        info!("entry stopped");
         for outbox in self.links.values() {
             outbox.close();
         }
-        // What is in line still goes out.
+        // Lets the links send the frames that are still queued.
         task::sleep(Duration::from_millis(50)).await;
     }
 
@@ -288,40 +292,40 @@
         self.handle(Input::Tick);
         let ready = self.entry.is_ready() && !stopping;
         self.shared.ready.store(ready, Ordering::Relaxed);
-        self.watch_promises();
+        self.report_violations();
         let pause = HEARTBEAT_PER_LINK * self.links.len() as u32;
-        if self.beat.elapsed() >= pause.clamp(HEARTBEAT_MIN, HEARTBEAT_MAX) {
-            self.beat = Instant::now();
+        if self.last_heartbeat.elapsed() >= pause.clamp(HEARTBEAT_MIN, HEARTBEAT_MAX) {
+            self.last_heartbeat = Instant::now();
             for outbox in self.links.values() {
                 outbox.send(Frame::Revision(self.config.revision()));
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Input(input) => self.handle(input),
-            Message::Request(ask, parts) => {
-                self.callers.insert(ask.request, parts);
-                self.handle(Input::Request(ask));
+            Message::Request(request, parts) => {
+                self.callers.insert(request.request, parts);
+                self.handle(Input::Request(request));
             }
             Message::LinkUp(link, outbox) => drop(self.links.insert(link, outbox)),
             Message::Link(Event::Frames(link, frames)) => {
                 for frame in frames {
-                    self.frame(link, frame);
+                    self.handle_frame(link, frame);
                 }
             }
             Message::Link(Event::Down(link)) => {
                 self.links.remove(&link);
                 self.handle(Input::LinkDown(link));
             }
-            Message::Config(news) => self.apply(news),
-            Message::Instances(instances) => self.note_instances(instances),
-            Message::Execute(with) => with(self),
+            Message::Config(transfer) => self.apply(transfer),
+            Message::Instances(instances) => self.set_instances(instances),
+            Message::Execute(execute) => execute(self),
         }
     }
 
-    fn frame(&mut self, link: Link, frame: Frame) {
+    fn handle_frame(&mut self, link: Link, frame: Frame) {
         match frame {
             Frame::Changes(changes) => self.apply(Transfer::Changes(changes)),
             Frame::Snapshot { revision, entries } => {
@@ -334,7 +338,7 @@
         }
     }
 
-    fn note_instances(&mut self, instances: Vec<Instance>) {
+    fn set_instances(&mut self, instances: Vec<Instance>) {
         let entries = instances
             .iter()
             .filter(|i| i.role == sorreldeck_net::platform::Role::Entry)
@@ -344,20 +348,20 @@
         self.handle(Input::Entries(entries));
     }
 
-    /// Puts a newer configuration in force and passes it on.
-    pub fn apply(&mut self, news: Transfer) {
+    /// Puts a newer configuration in force and sends its changes to all links.
+    pub fn apply(&mut self, transfer: Transfer) {
         let before = self.config.revision();
-        let Some(tree) = propagation::apply(&mut self.config, news) else {
+        let Some(tree) = propagation::apply(&mut self.config, transfer) else {
             return;
         };
-        info!("revision {} is in force", tree.revision());
+        info!("configuration revision {} is in force", tree.revision());
         self.metrics
             .gauges()
             .revision_since
             .set(self.clock.now().0 as i64);
         *self.shared.tree.write().unwrap_or_else(|e| e.into_inner()) = tree.clone();
         self.handle(Input::Tree(tree));
-        // The other ends get the changes at once, not after asking for them.
+        // Pushed at once, so that the sidecars need not request the changes.
         if let Some(changes) = self.config.since(before) {
             for outbox in self.links.values() {
                 outbox.send(Frame::Changes(changes.clone()));
@@ -365,7 +369,7 @@
         }
     }
 
-    /// Gives the decisions an input and does what they say.
+    /// Passes an input to the state machine and executes its outputs.
     pub fn handle(&mut self, input: Input) {
         let now = self.clock.now();
         for output in self.entry.handle(now, input) {
@@ -382,7 +386,7 @@
             Output::Rate(sample) => self.rate(sample),
             Output::Write(batch) => self.write(batch),
             Output::Behind(link) => {
-                if self.asker.admits(self.config.revision()) {
+                if self.throttle.admits(self.config.revision()) {
                     self.post(link, Frame::FetchChanges(self.config.revision()));
                 }
             }
@@ -390,24 +394,25 @@
                 let frame = propagation::frame_since(&self.config, revision);
                 self.post(link, frame);
             }
-            Output::Suspect(version) => warn!("version {version} is held back here"),
-            Output::RequestEnded(done) => self.metrics.record_request(&done),
-            // Sidecars tell all entries what waits to be read.
+            Output::Suspect(version) => warn!("suspect version {version} gets no new requests"),
+            Output::RequestEnded(summary) => self.metrics.record_request(&summary),
+            // Sidecars report the pending prefill to all entries.
             Output::Prefill(..) | Output::SessionPin(..) => {}
-            Output::QuarantineUpdate(word) => self.tell_all(&word),
-            // What is held back is remembered by the sidecars, which pass the words on.
+            Output::QuarantineUpdate(update) => self.broadcast(&update),
+            // Sidecars keep the quarantine and relay its updates.
             Output::RecordQuarantine(_) => {}
-            // Only upstreams without a sidecar answer entries themselves.
+            // Only upstreams without a sidecar send notices to entries directly.
             Output::Notice(_) => {}
-            // Records of runs tell what client accounts used.
+            // The usage of client accounts is taken from the records of runs.
             Output::RequestStarted(_) => {}
         }
     }
 
-    /// Has the sidecars tell the other entries of requests; there are no links to these.
-    fn tell_all(&self, word: &quarantine::Update) {
+    /// Sends an update of the quarantine to all sidecars, which relay it to the other
+    /// entries, since entries have no links to each other.
+    fn broadcast(&self, update: &quarantine::Update) {
         for outbox in self.links.values() {
-            outbox.send(Frame::Quarantine(vec![word.clone()]));
+            outbox.send(Frame::Quarantine(vec![update.clone()]));
         }
     }
 
@@ -422,17 +427,17 @@
         let Some(parts) = self.callers.get(&request) else {
             return;
         };
-        let heard = parts.try_send(part).is_ok();
-        if last || !heard {
+        let delivered = parts.try_send(part).is_ok();
+        if last || !delivered {
             self.callers.remove(&request);
         }
-        if !heard && !last {
+        if !delivered && !last {
             self.handle(Input::Disconnected(request));
         }
     }
 
     fn forward(&mut self, request: RequestId, address: String) {
-        // The handler holds the call; it is told where to send it.
+        // The handler has the call and forwards it to the address in this header.
         let part = Part::Head {
             status: 0,
             headers: vec![sorreldeck::wire::Header::new(callers::FORWARD, address)],
@@ -458,7 +463,7 @@
                 class: sample.class,
                 text: callers::answer_text(&sample.answer),
             };
-            // Without a rating the answer is simply not counted.
+            // An answer without a rating is not counted.
             if let Ok(score) = shared.platform.rate(&answer).await {
                 let rating = Rating { sample, score };
                 let _ = shared.send.send(Message::Input(Input::Rated(rating))).await;
@@ -477,16 +482,16 @@
         });
     }
 
-    fn watch_promises(&mut self) {
-        let promises = self.entry.invariants();
-        let violated: u64 = Invariant::ALL.iter().map(|p| promises.violated(*p)).sum();
+    fn report_violations(&mut self) {
+        let invariants = self.entry.invariants();
+        let violated: u64 = Invariant::ALL.iter().map(|i| invariants.violated(*i)).sum();
         if violated > self.violated {
             self.violated = violated;
-            error!("a promise would have been broken; {violated} actions were refused");
+            error!("refused {violated} actions that would violate an invariant");
         }
     }
 
-    /// Writes all metrics.
+    /// Returns all metrics in the text format of Prometheus.
     pub fn metrics_text(&self) -> String {
         let gauges = self.metrics.gauges();
         gauges.revision.set(self.config.revision().0 as i64);
@@ -499,7 +504,7 @@
     }
 }
 
-/// Claims an idempotency key for a request.
+/// Claims an idempotency key for a request with a row in the platform's store.
 async fn claim(platform: &Platform, request: RequestId, key: &str) -> Result<(), Failure> {
     let transaction = Transaction::default()
         .expect_absent(key)
@@ -507,23 +512,23 @@
     match platform.commit(&transaction).await {
         Ok(Commit::Done) => Ok(()),
         Ok(Commit::Conflict(_)) | Err(Trouble::Unknown(_)) => {
-            settle_claim(platform, request, key).await
+            resolve_claim(platform, request, key).await
         }
         Err(trouble) => Err(Failure::not_run(Reason::StoreDown, trouble.to_string())
             .retry_after(sorreldeck::Span::from_millis(2000))),
     }
 }
 
-/// Finds out who holds a claim that was there already or whose answer was lost.
-async fn settle_claim(platform: &Platform, request: RequestId, key: &str) -> Result<(), Failure> {
+/// Reads which request holds a claim after a conflict or a lost answer.
+async fn resolve_claim(platform: &Platform, request: RequestId, key: &str) -> Result<(), Failure> {
     let holder = platform.get(key).await;
-    let unsure = |message: String| {
-        // This request did not run; the earlier one with the key may have.
+    let duplicate = |message: String| {
+        // This request did not run, but the earlier one with the same key may have.
         Failure::new(Reason::Duplicate, sorreldeck::Verdict::MayHaveRun, message)
     };
     match holder {
         Ok(Some(row)) if row.value == request.to_string() => Ok(()),
-        Ok(Some(row)) => Err(unsure(format!("request {} has the same key", row.value))),
+        Ok(Some(row)) => Err(duplicate(format!("request {} has the same key", row.value))),
         Ok(None) => Err(Failure::not_run(
             Reason::StoreDown,
             "the claim was not kept",
--- a/crates/daemon/src/sidecar.rs
+++ b/crates/daemon/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar's loop and what feeds it.
+//! The event loop of a sidecar and the tasks that send messages to it.
 
 use crate::clock::{self, Clock};
 use crate::event_loop::{self, Flow, Stop};
@@ -27,12 +27,12 @@
 use std::time::{Duration, Instant};
 use tide::{Request, Response};
 
-/// The pause after a connection that could not be taken.
-const AFTER_FAILURE: Duration = Duration::from_millis(20);
-/// How long a stopping sidecar goes on with what runs.
+/// The pause after a failure to accept a connection.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// The time that a stopping sidecar has to finish the runs in progress.
 const STOP_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What reaches the loop.
+/// A message to the event loop.
 enum Message {
     Input(Input),
     LinkUp(Link, Outbox),
@@ -44,19 +44,19 @@
 /// A running sidecar.
 #[derive(Clone, Debug)]
 pub struct Running {
-    /// The address for links.
+    /// The listening address for links.
     pub address: SocketAddr,
-    /// The address for health checks and metrics.
+    /// The listening address for health checks and metrics.
     pub health: SocketAddr,
-    /// The planned stop.
+    /// The handle for a graceful stop.
     pub stop: Stop,
 }
 
-/// Runs a sidecar until it is told to stop by SIGTERM or SIGINT.
+/// Runs a sidecar until SIGTERM or SIGINT stops it.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be listened on.
+/// Fails if an address cannot be bound or the signal handlers cannot be installed.
 pub async fn run(settings: options::Sidecar) -> Result<()> {
     let platform = Platform::connect(settings.platform);
     let stop = event_loop::stop_flag()?;
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be listened on.
+/// Fails if an address cannot be bound.
 pub async fn start(
     settings: options::Sidecar,
     platform: Platform,
@@ -85,7 +85,7 @@
     let incarnation = Incarnation(u64::from_le_bytes(clock::random()));
     info!("sidecar {} starts as {incarnation}", settings.name);
     let config = Config::default();
-    let room = EventLoop {
+    let event_loop = EventLoop {
         sidecar: Sidecar::new(Settings {
             upstream: settings.name.clone(),
             pool: settings.pool.clone(),
@@ -105,12 +105,12 @@
         runs: HashMap::new(),
         metrics: Metrics::default(),
         traffic: Arc::default(),
-        asker: Throttle::default(),
+        throttle: Throttle::default(),
         violated: 0,
         send: send.clone(),
     };
-    let traffic = room.traffic.clone();
-    task::spawn(take_links(
+    let traffic = event_loop.traffic.clone();
+    task::spawn(accept_links(
         listener,
         settings.link_keys,
         send.clone(),
@@ -120,7 +120,7 @@
     task::spawn(http::serve(health, app(send)));
     let flag = stop.clone();
     task::spawn(async move {
-        room.work(receive, flag).await;
+        event_loop.run(receive, flag).await;
         drop(end);
     });
     Ok(Running {
@@ -130,7 +130,7 @@
     })
 }
 
-async fn take_links(
+async fn accept_links(
     listener: TcpListener,
     keys: Keys,
     send: Sender<Message>,
@@ -139,7 +139,7 @@
     let mut next: Link = 1;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            task::sleep(AFTER_FAILURE).await;
+            task::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
         let (keys, send, traffic) = (keys.clone(), send.clone(), traffic.clone());
@@ -148,7 +148,7 @@
         task::spawn(async move {
             let open = match link::accept(stream, &keys, clock::random()).await {
                 Ok(open) => open,
-                Err(e) => return info!("a link was refused: {e}"),
+                Err(e) => return info!("rejected an incoming link: {e}"),
             };
             let (events, incoming) = async_channel::bounded(64);
             let outbox = open.run(link, events, traffic);
@@ -164,7 +164,7 @@
     }
 }
 
-/// What the loop holds.
+/// The event loop of a sidecar and its state.
 struct EventLoop {
     sidecar: Sidecar,
     config: Config,
@@ -176,29 +176,29 @@
     runs: HashMap<Run, Handle>,
     metrics: Metrics,
     traffic: Arc<Traffic>,
-    asker: Throttle,
+    throttle: Throttle,
     violated: u64,
     send: Sender<Message>,
 }
 
 impl EventLoop {
-    async fn work(mut self, receive: Receiver<Message>, stop: Arc<AtomicBool>) {
+    async fn run(mut self, receive: Receiver<Message>, stop: Arc<AtomicBool>) {
         let mut stopping: Option<Instant> = None;
-        let tick = |room: &mut EventLoop| {
-            room.handle(Input::Tick);
-            room.watch_promises();
+        let tick = |event_loop: &mut EventLoop| {
+            event_loop.handle(Input::Tick);
+            event_loop.report_violations();
             if stop.load(Ordering::Relaxed) && stopping.is_none() {
-                info!("the sidecar leaves");
+                info!("sidecar is stopping");
                 stopping = Some(Instant::now());
-                room.handle(Input::Drain);
+                event_loop.handle(Input::Drain);
             }
-            match stopping.is_some_and(|since| room.is_done(since)) {
+            match stopping.is_some_and(|since| event_loop.is_done(since)) {
                 true => Flow::End,
                 false => Flow::Continue,
             }
         };
-        event_loop::run(&mut self, receive, EventLoop::take, tick).await;
-        info!("the sidecar has ended");
+        event_loop::run(&mut self, receive, EventLoop::handle_message, tick).await;
+        info!("sidecar stopped");
         self.close_links().await;
     }
 
@@ -206,7 +206,7 @@
         for outbox in self.links.values() {
             outbox.close();
         }
-        // What is in line still goes out.
+        // Lets the links send the frames that are still queued.
         task::sleep(Duration::from_millis(50)).await;
     }
 
@@ -214,7 +214,7 @@
         self.sidecar.is_idle() || since.elapsed() >= STOP_TIMEOUT
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Input(input) => self.handle(input),
             Message::LinkUp(link, outbox) => {
@@ -223,25 +223,25 @@
             }
             Message::Link(Event::Frames(link, frames)) => {
                 for frame in frames {
-                    self.frame(link, frame);
+                    self.handle_frame(link, frame);
                 }
             }
             Message::Link(Event::Down(link)) => {
                 self.links.remove(&link);
                 self.handle(Input::LinkDown(link));
             }
-            Message::Config(news) => self.adopt(news),
+            Message::Config(transfer) => self.apply(transfer),
             Message::Metrics(reply) => {
                 let _ = reply.try_send(self.metrics_text());
             }
         }
     }
 
-    fn frame(&mut self, link: Link, frame: Frame) {
+    fn handle_frame(&mut self, link: Link, frame: Frame) {
         match frame {
-            Frame::Changes(changes) => self.adopt(Transfer::Changes(changes)),
+            Frame::Changes(changes) => self.apply(Transfer::Changes(changes)),
             Frame::Snapshot { revision, entries } => {
-                self.adopt(Transfer::Snapshot(propagation::Snapshot {
+                self.apply(Transfer::Snapshot(propagation::Snapshot {
                     revision,
                     entries,
                 }));
@@ -250,9 +250,9 @@
         }
     }
 
-    fn adopt(&mut self, news: Transfer) {
-        if let Some(tree) = propagation::apply(&mut self.config, news) {
-            info!("revision {} is in force", tree.revision());
+    fn apply(&mut self, transfer: Transfer) {
+        if let Some(tree) = propagation::apply(&mut self.config, transfer) {
+            info!("configuration revision {} is in force", tree.revision());
             self.metrics
                 .gauges()
                 .revision_since
@@ -274,11 +274,11 @@
             Output::Open(start) => {
                 let send = self.send.clone();
                 let run = start.run;
-                let tell = move |run, event| {
-                    // The loop outlives every run, unless the process ends.
+                let report = move |run, event| {
+                    // Fails only when the process ends: the loop outlives every run.
                     let _ = send.try_send(Message::Input(Input::Upstream(run, event)));
                 };
-                let handle = upstream::spawn(&self.client, self.upstream, *start, tell);
+                let handle = upstream::spawn(&self.client, self.upstream, *start, report);
                 self.runs.insert(run, handle);
             }
             Output::Abort(run) => {
@@ -289,7 +289,7 @@
             Output::Closed(run) => drop(self.runs.remove(&run)),
             Output::Write(batch) => self.write(batch),
             Output::Behind(link) => {
-                if self.asker.admits(self.config.revision()) {
+                if self.throttle.admits(self.config.revision()) {
                     self.post(link, Frame::FetchChanges(self.config.revision()));
                 }
             }
@@ -317,12 +317,12 @@
         });
     }
 
-    fn watch_promises(&mut self) {
-        let promises = self.sidecar.invariants();
-        let violated: u64 = Invariant::ALL.iter().map(|p| promises.violated(*p)).sum();
+    fn report_violations(&mut self) {
+        let invariants = self.sidecar.invariants();
+        let violated: u64 = Invariant::ALL.iter().map(|i| invariants.violated(*i)).sum();
         if violated > self.violated {
             self.violated = violated;
-            error!("a promise would have been broken; {violated} actions were refused");
+            error!("refused {violated} actions that would violate an invariant");
         }
     }
 
@@ -338,7 +338,8 @@
     }
 }
 
-/// Writes a batch of bill records; returns whether it is known to be stored.
+/// Writes a batch of bill records to the object store and returns whether it is confirmed
+/// as stored.
 pub async fn write_batch(platform: &Platform, batch: &Batch) -> bool {
     let Ok(data) = serde_json::to_vec(&batch.records) else {
         return false;
