--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,4 +1,4 @@
-//! What callers see: chat completions, models, plain services and health.
+//! The HTTP API for callers: chat completions, models, plain services and health.
 
 use crate::entry::{Message, Shared};
 use async_channel::Receiver;
@@ -16,13 +16,14 @@
 use std::net::SocketAddr;
 use tide::{Body, Request, Response};
 
-/// The header by which the loop tells a handler to hand a call to old scripts.
+/// The internal header in which the event loop gives a handler the address of the legacy
+/// scripts that a call is forwarded to.
 pub const FORWARD: &str = "x-sorreldeck-forward";
 
-/// The largest body that is gathered before it is given on.
-const GATHERED: u64 = 1 << 20;
+/// The largest response body, in bytes, that is buffered; a longer one is streamed.
+const MAX_BUFFERED: u64 = 1 << 20;
 
-/// Adds the paths of callers.
+/// Adds the routes for callers.
 pub fn routes(app: &mut tide::Server<Shared>) {
     app.at("/health").get(|_| async { Ok("ok\n") });
     app.at("/ready").get(ready);
@@ -41,36 +42,40 @@
 }
 
 async fn metrics(request: Request<Shared>) -> tide::Result {
-    match request.state().query(|room| room.metrics_text()).await {
+    match request
+        .state()
+        .query(|event_loop| event_loop.metrics_text())
+        .await
+    {
         Some(text) => Ok(text.into()),
         None => Ok(Response::new(503)),
     }
 }
 
-/// Returns the API key or token of a request.
+/// Returns the bearer token of a request: an API key or an operator's token.
 pub fn bearer_token(request: &Request<Shared>) -> Option<String> {
     let value = request.header("authorization")?.as_str();
     Some(value.strip_prefix("Bearer ")?.trim().to_owned())
 }
 
-fn header_of(request: &Request<Shared>, name: &str) -> Option<String> {
+fn header_value(request: &Request<Shared>, name: &str) -> Option<String> {
     request.header(name).map(|v| v.as_str().to_owned())
 }
 
 async fn models(request: Request<Shared>) -> tide::Result {
     let tree = request.state().tree();
     let key = bearer_token(&request);
-    let route = header_of(&request, header::ROUTE);
+    let route = header_value(&request, header::ROUTE);
     let caller = Caller {
         key: key.as_deref(),
         route: route.as_deref(),
         class: None,
     };
-    let site = match route::identify(&tree, &caller) {
-        Ok(site) => site,
+    let context = match route::identify(&tree, &caller) {
+        Ok(context) => context,
         Err(failure) => return Ok(error_response(None, &failure)),
     };
-    let names = site.node.models.iter().flatten();
+    let names = context.node.models.iter().flatten();
     let data: Vec<Value> = names
         .map(|name| json!({"id": name, "object": "model", "created": 0, "owned_by": "sorreldeck"}))
         .collect();
@@ -87,34 +92,34 @@
 
 async fn plain(request: Request<Shared>) -> tide::Result {
     serve(request, |mut call, body| {
-        // The API key is for sorreldeck; a service has no use for it.
+        // The API key authenticates to sorreldeck and must not reach the service.
         call.headers.retain(|h| h.name != "authorization");
         Ok(Payload::Plain(Call { body, ..call }))
     })
     .await
 }
 
-/// Serves one request; `read` makes of the call and its body what is asked.
+/// Serves one request; `read` makes the payload from the call and its body.
 async fn serve(
     mut request: Request<Shared>,
     read: fn(Call, Vec<u8>) -> Result<Payload, Failure>,
 ) -> tide::Result {
     let shared = request.state().clone();
     let id = shared.next_request();
-    let call = call_of(&request);
-    let asked = match take_in(&mut request, &shared).await {
-        Ok(body) => read(call.clone(), body.clone()).map(|what| (what, body)),
+    let call = to_call(&request);
+    let parsed = match receive_body(&mut request, &shared).await {
+        Ok(body) => read(call.clone(), body.clone()).map(|payload| (payload, body)),
         Err(failure) => Err(failure),
     };
-    let (what, body) = match asked {
-        Ok(asked) => asked,
+    let (payload, body) = match parsed {
+        Ok(parsed) => parsed,
         Err(failure) => {
             return Ok(refuse_unread(&request, id, &failure));
         }
     };
-    let ask = ask_of(&request, id, what);
+    let entry_request = entry_request(&request, id, payload);
     let (send, parts) = async_channel::unbounded();
-    let message = Message::Request(Box::new(ask), send);
+    let message = Message::Request(Box::new(entry_request), send);
     if shared.send.send(message).await.is_err() {
         let failure = Failure::not_run(Reason::Leaving, "this entry has stopped");
         return Ok(error_response(Some(id), &failure));
@@ -127,17 +132,17 @@
 /// Refuses a request whose body may not have been read to its end.
 fn refuse_unread(request: &Request<Shared>, id: RequestId, failure: &Failure) -> Response {
     let mut response = error_response(Some(id), failure);
-    // What is left of the request would be taken for the next one.
+    // On a kept connection the rest of the body would be read as the next request.
     response.insert_header("connection", "close");
-    // The server reads a request to its end before it closes, and a slow
-    // sender could hold it for ever: now the end is where it has got to.
+    // The server reads a request to its end before it closes the connection, so a
+    // slow sender could keep it open forever; the shutdown ends the request here.
     if let Some(stream) = request.ext::<TcpStream>() {
         let _ = stream.shutdown(std::net::Shutdown::Read);
     }
     response
 }
 
-fn call_of(request: &Request<Shared>) -> Call {
+fn to_call(request: &Request<Shared>) -> Call {
     let url = request.url();
     let path = match url.query() {
         Some(query) => format!("{}?{query}", url.path()),
@@ -162,36 +167,36 @@
     }
 }
 
-fn ask_of(request: &Request<Shared>, id: RequestId, what: Payload) -> EntryRequest {
+fn entry_request(request: &Request<Shared>, id: RequestId, parsed: Payload) -> EntryRequest {
     EntryRequest {
         request: id,
         key: bearer_token(request),
-        route: header_of(request, header::ROUTE),
-        class: header_of(request, header::CLASS),
-        session: header_of(request, header::SESSION),
-        at_most_once: header_of(request, header::ONCE).as_deref() == Some("true"),
-        idempotency_key: header_of(request, header::IDEMPOTENCY_KEY),
-        payload: what,
+        route: header_value(request, header::ROUTE),
+        class: header_value(request, header::CLASS),
+        session: header_value(request, header::SESSION),
+        at_most_once: header_value(request, header::ONCE).as_deref() == Some("true"),
+        idempotency_key: header_value(request, header::IDEMPOTENCY_KEY),
+        payload: parsed,
     }
 }
 
-/// Reads the body within the limits of the caller's node. A caller that is not
-/// known is refused before its body is read.
-async fn take_in(request: &mut Request<Shared>, shared: &Shared) -> Result<Vec<u8>, Failure> {
+/// Reads the body within the size and time limits of the caller's node. An unknown
+/// caller is refused before its body is read.
+async fn receive_body(request: &mut Request<Shared>, shared: &Shared) -> Result<Vec<u8>, Failure> {
     let key = bearer_token(request);
-    let route = header_of(request, header::ROUTE);
+    let route = header_value(request, header::ROUTE);
     let caller = Caller {
         key: key.as_deref(),
         route: route.as_deref(),
         class: None,
     };
-    let site = route::identify(&shared.tree(), &caller)?;
-    let limit = site.node.max_body();
+    let context = route::identify(&shared.tree(), &caller)?;
+    let limit = context.node.max_body();
     let expected = request.len();
     if expected.is_some_and(|len| len as u64 > limit.bytes()) {
         return Err(too_large(limit));
     }
-    let span = site.node.body_timeout();
+    let span = context.node.body_timeout();
     let body = timeout(span.into(), read_body(request, limit))
         .await
         .map_err(|_| too_slow(span))??;
@@ -230,8 +235,9 @@
     }
 }
 
-/// Waits for the answer's first part and gives it on; a caller that goes away
-/// meanwhile is noticed, and the loop is told when the parts find no reader.
+/// Waits for the first part of the answer and returns the response. If the caller
+/// disconnects first, the event loop is notified; if it does so later, the loop finds
+/// the channel of the parts closed.
 async fn answer(
     shared: &Shared,
     id: RequestId,
@@ -240,16 +246,16 @@
     connection: Option<TcpStream>,
 ) -> Response {
     let first = async { parts.recv().await.ok() };
-    let gone = async {
+    let disconnected = async {
         match &connection {
             Some(stream) => http::closed(stream).await,
             None => futures_lite::future::pending().await,
         }
         None
     };
-    match first.or(gone).await {
+    match first.or(disconnected).await {
         Some(Part::Head { status: 0, headers }) => forward(shared, id, call, &headers).await,
-        Some(Part::Head { status, headers }) => give(id, status, headers, parts).await,
+        Some(Part::Head { status, headers }) => respond(id, status, headers, parts).await,
         Some(Part::Fail(failure)) => error_response(Some(id), &failure),
         Some(Part::Data(_) | Part::End) => {
             let message = "the answer has no head";
@@ -272,7 +278,12 @@
     }
 }
 
-async fn give(id: RequestId, status: u16, headers: Vec<Header>, parts: Receiver<Part>) -> Response {
+async fn respond(
+    id: RequestId,
+    status: u16,
+    headers: Vec<Header>,
+    parts: Receiver<Part>,
+) -> Response {
     let streamed = http::find_header(&headers, "content-type")
         .is_some_and(|v| v.starts_with("text/event-stream"));
     let mut response = Response::new(status);
@@ -281,7 +292,7 @@
     }
     if streamed {
         response.set_body(Body::from_reader(Stream::new(parts, event_piece), None));
-        return with_headers(response, &headers);
+        return with_content_type(response, &headers);
     }
     let mut body = Vec::new();
     while let Ok(part) = parts.recv().await {
@@ -291,16 +302,16 @@
             Part::Fail(failure) => return error_response(Some(id), &failure),
             Part::Head { .. } => {}
         }
-        if body.len() as u64 > GATHERED {
-            return give_rest(response, &headers, body, parts);
+        if body.len() as u64 > MAX_BUFFERED {
+            return stream_rest(response, &headers, body, parts);
         }
     }
     response.set_body(body);
-    with_headers(response, &headers)
+    with_content_type(response, &headers)
 }
 
-/// Gives on a long answer without gathering the rest of it.
-fn give_rest(
+/// Returns a response that streams the rest of an answer that is too long to buffer.
+fn stream_rest(
     mut response: Response,
     headers: &[Header],
     body: Vec<u8>,
@@ -310,19 +321,19 @@
     let rest = Stream::new(parts, plain_piece);
     let whole = async_std::io::BufReader::new(start.chain(rest));
     response.set_body(Body::from_reader(whole, None));
-    with_headers(response, headers)
+    with_content_type(response, headers)
 }
 
-/// Sets the headers again, since setting a body replaces its type.
-fn with_headers(mut response: Response, headers: &[Header]) -> Response {
+/// Sets the content type again, since setting a body replaces it.
+fn with_content_type(mut response: Response, headers: &[Header]) -> Response {
     if let Some(kind) = http::find_header(headers, "content-type") {
         response.insert_header("content-type", kind);
     }
     response
 }
 
-/// Returns the bytes of a part of a stream of events; a failure is told in an
-/// event of its own, after which the connection breaks off.
+/// Returns the bytes of a part of an event stream. A failure becomes an event of its
+/// own, after which the connection is aborted.
 fn event_piece(part: Part) -> Piece {
     match part {
         Part::Fail(failure) => Piece {
@@ -344,7 +355,7 @@
     }
 }
 
-/// Hands a call to the old scripts.
+/// Forwards a call to the legacy scripts.
 async fn forward(shared: &Shared, id: RequestId, call: Call, headers: &[Header]) -> Response {
     let address = http::find_header(headers, FORWARD).and_then(|a| a.parse::<SocketAddr>().ok());
     let Some(address) = address else {
@@ -386,10 +397,10 @@
             }
         }
     });
-    give(id, status, headers, parts).await
+    respond(id, status, headers, parts).await
 }
 
-/// Returns the response that tells a caller of a failure.
+/// Returns the response that reports a failure to a caller.
 pub fn error_response(id: Option<RequestId>, failure: &Failure) -> Response {
     let mut response = Response::new(failure.reason.status());
     response.set_body(error_body(id, failure));
@@ -398,7 +409,7 @@
         response.insert_header(header::REQUEST, id.to_string());
     }
     if let Some(span) = failure.retry_after {
-        // The header counts whole seconds; the body has the exact time.
+        // The header has whole seconds, rounded up; the body has the exact time.
         let seconds = span.millis().div_ceil(1000).max(1);
         response.insert_header("retry-after", seconds.to_string());
     }
@@ -426,7 +437,7 @@
     })
 }
 
-/// Returns the text of an answer of an engine, whole or streamed.
+/// Returns the text of an engine's answer, whether a single object or an event stream.
 pub fn answer_text(answer: &[u8]) -> String {
     let piece = |value: &Value, field: &str| {
         let content = &value["choices"][0][field]["content"];
--- a/crates/daemon/src/loss.rs
+++ b/crates/daemon/src/loss.rs
@@ -1,17 +1,21 @@
-//! Tells a run that an upstream cut off from one that went down with its upstream.
+//! Distinguishes a run that an upstream aborted from one that ended because the upstream
+//! crashed.
 //!
-//! The connection breaks in both cases; what a request does to its upstreams shows only
-//! in whether somebody still listens there.
+//! The connection breaks in both cases. Whether the request may have crashed the upstream
+//! shows only in whether the upstream still accepts connections.
 
 use sorreldeck::{Failure, Reason, Verdict};
 use sorreldeck_net::reach;
 use std::net::SocketAddr;
 
-/// Returns a failure with its reason changed where the upstream is gone. It costs a
-/// connection for each run that broke; a crashed process refuses it within a round trip.
+/// Returns the failure, with its reason changed to [`Reason::UpstreamLost`] if the upstream
+/// refuses connections.
+///
+/// This opens a connection for each broken run; a crashed process refuses it within one
+/// round trip.
 pub async fn classify(mut failure: Failure, address: SocketAddr) -> Failure {
-    let broke = failure.reason == Reason::UpstreamFailed && failure.verdict != Verdict::NotRun;
-    if broke && reach::is_refused(address).await {
+    let is_broken = failure.reason == Reason::UpstreamFailed && failure.verdict != Verdict::NotRun;
+    if is_broken && reach::is_refused(address).await {
         failure.reason = Reason::UpstreamLost;
     }
     failure
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -1,7 +1,7 @@
-//! One run of a request at an upstream.
+//! Runs a request at an upstream.
 //!
-//! The sidecar checks that the answer belongs to the run: engines give the
-//! run's id back in a header and in every event of a stream.
+//! The sidecar checks that the answer belongs to the run: engines return the
+//! run's id in a header and in every event of a stream.
 
 use crate::loss;
 use async_channel::{Receiver, Sender};
@@ -15,8 +15,8 @@
 use sorreldeck_net::http::{find_header, Client, Incoming};
 use std::net::SocketAddr;
 
-/// Headers that belong to one connection and are not passed on.
-const HOP: [&str; 8] = [
+/// Headers that apply to a single connection and are not forwarded.
+const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -27,28 +27,28 @@
     "date",
 ];
 
-/// Returns whether a header is passed on.
+/// Returns whether a header is end-to-end, that is, forwarded.
 pub fn is_end_to_end(name: &str) -> bool {
-    !HOP.contains(&name) && name != header::RUN
+    !HOP_BY_HOP.contains(&name) && name != header::RUN
 }
 
-/// A run at the upstream; dropping it does not stop the run.
+/// A handle to a run at the upstream; dropping it does not abort the run.
 #[derive(Debug)]
 pub struct Handle(Sender<()>);
 
 impl Handle {
-    /// Stops the run.
+    /// Aborts the run.
     pub fn abort(&self) {
         self.0.close();
     }
 }
 
-/// Starts a run; what the upstream does is told through `tell`.
+/// Starts a run and reports its events to `report`.
 pub fn spawn(
     client: &Client,
     address: SocketAddr,
     start: Start,
-    tell: impl Fn(Run, Event) + Send + Sync + 'static,
+    report: impl Fn(Run, Event) + Send + Sync + 'static,
 ) -> Handle {
     let (abort, aborted) = async_channel::bounded(1);
     let job = Job {
@@ -61,7 +61,7 @@
         pending: Vec::new(),
         done: false,
     };
-    task::spawn(async move { job.run(start, aborted, &tell).await });
+    task::spawn(async move { job.run(start, aborted, &report).await });
     Handle(abort)
 }
 
@@ -76,7 +76,7 @@
     done: bool,
 }
 
-/// The part of an engine's answer or event that the sidecar reads.
+/// The fields of an engine's answer or event that the sidecar reads.
 #[derive(Debug, Deserialize)]
 struct Part<'a> {
     #[serde(borrow)]
@@ -114,17 +114,17 @@
     logprob: f64,
 }
 
-type Tell<'a> = &'a (dyn Fn(Run, Event) + Send + Sync);
+type Report<'a> = &'a (dyn Fn(Run, Event) + Send + Sync);
 
 impl Job {
-    async fn run(mut self, start: Start, aborted: Receiver<()>, tell: Tell<'_>) {
+    async fn run(mut self, start: Start, aborted: Receiver<()>, report: Report<'_>) {
         let run = self.run;
         let stop = async {
             let _ = aborted.recv().await;
             None
         };
         let work = async {
-            match self.work(start, tell).await {
+            match self.execute(start, report).await {
                 Ok(()) => Some(Ok(())),
                 Err(failure) => Some(Err(loss::classify(failure, self.address).await)),
             }
@@ -138,11 +138,11 @@
                 Event::Fail(failure, self.usage)
             }
         };
-        tell(run, event);
+        report(run, event);
     }
 
-    async fn work(&mut self, start: Start, tell: Tell<'_>) -> Result<(), Failure> {
-        let call = self.call_of(start);
+    async fn execute(&mut self, start: Start, report: Report<'_>) -> Result<(), Failure> {
+        let call = self.upstream_call(start);
         let sent = self.client.send(self.address, &call, false).await;
         let mut incoming = sent.map_err(|trouble| {
             Failure::new(Reason::UpstreamFailed, trouble.verdict, trouble.message)
@@ -159,19 +159,19 @@
         };
         let good = incoming.status < 300;
         match (self.engine && good, streamed) {
-            (true, true) => self.stream(incoming, head, tell).await,
-            (true, false) => self.whole(incoming, head, tell).await,
+            (true, true) => self.stream(incoming, head, report).await,
+            (true, false) => self.buffer(incoming, head, report).await,
             (false, _) => {
-                tell(self.run, head);
+                report(self.run, head);
                 while let Some(data) = self.next(&mut incoming).await? {
-                    tell(self.run, Event::Data(data));
+                    report(self.run, Event::Data(data));
                 }
                 Ok(())
             }
         }
     }
 
-    fn call_of(&self, start: Start) -> Call {
+    fn upstream_call(&self, start: Start) -> Call {
         let mut call = start.call;
         call.headers.push(Header::new(header::RUN, self.run));
         if self.engine {
@@ -186,13 +186,13 @@
     }
 
     async fn check_head(&mut self, incoming: &Incoming) -> Result<(), Failure> {
-        let given = find_header(&incoming.headers, header::RUN);
-        if given.is_some_and(|id| id != self.run.to_string()) {
-            return Err(self.foreign());
+        let run = find_header(&incoming.headers, header::RUN);
+        if run.is_some_and(|id| id != self.run.to_string()) {
+            return Err(self.foreign_answer());
         }
         let message = format!("the engine answered with status {}", incoming.status);
         match incoming.status {
-            // These say that the engine took nothing in.
+            // With these status codes the engine did not accept the request.
             429 | 503 => {
                 let failure = Failure::not_run(Reason::UpstreamFailed, message);
                 let retry_after = header::retry_after(incoming.status, &incoming.headers);
@@ -210,7 +210,7 @@
         }
     }
 
-    fn foreign(&self) -> Failure {
+    fn foreign_answer(&self) -> Failure {
         let message = "the answer belongs to another request";
         Failure::new(Reason::ForeignAnswer, Verdict::MayHaveRun, message)
     }
@@ -221,13 +221,14 @@
         })
     }
 
-    /// Passes a stream on, whole events at a time. The head goes out with the
-    /// first event, so that an answer of another request shows nothing.
+    /// Forwards a stream in whole events. The head is sent with the first event, after
+    /// the event's id was checked, so that nothing of another request's answer is
+    /// forwarded.
     async fn stream(
         &mut self,
         mut incoming: Incoming,
         head: Event,
-        tell: Tell<'_>,
+        report: Report<'_>,
     ) -> Result<(), Failure> {
         let mut head = Some(head);
         while let Some(data) = self.next(&mut incoming).await? {
@@ -239,9 +240,9 @@
             let events = std::mem::replace(&mut self.pending, rest);
             self.read_events(&events)?;
             if let Some(head) = head.take() {
-                tell(self.run, head);
+                report(self.run, head);
             }
-            tell(self.run, Event::Data(events));
+            report(self.run, Event::Data(events));
         }
         match self.done {
             true => Ok(()),
@@ -271,9 +272,9 @@
             let message = format!("the engine's answer is not understood: {e}");
             Failure::new(Reason::UpstreamFailed, Verdict::Ran, message)
         })?;
-        let own = |id: &str| id.strip_prefix("chatcmpl-") == Some(&self.run.to_string());
-        if !part.id.as_deref().is_some_and(own) {
-            return Err(self.foreign());
+        let is_own = |id: &str| id.strip_prefix("chatcmpl-") == Some(&self.run.to_string());
+        if !part.id.as_deref().is_some_and(is_own) {
+            return Err(self.foreign_answer());
         }
         match part.usage {
             Some(counts) => {
@@ -283,31 +284,32 @@
                     cached: counts.prompt_tokens_details.map_or(0, |d| d.cached_tokens),
                 }
             }
-            // Until the counts come, each event stands for a token.
+            // Until the engine reports usage, each event counts as one token.
             None => self.usage.generated += 1,
         }
         self.confidence = confidence(&part.choices).or(self.confidence);
         Ok(())
     }
 
-    async fn whole(
+    /// Buffers the whole answer and forwards it after its id was checked.
+    async fn buffer(
         &mut self,
         mut incoming: Incoming,
         head: Event,
-        tell: Tell<'_>,
+        report: Report<'_>,
     ) -> Result<(), Failure> {
         let mut body = Vec::new();
         while let Some(data) = self.next(&mut incoming).await? {
             body.extend_from_slice(&data);
         }
         self.read_part(&body)?;
-        tell(self.run, head);
-        tell(self.run, Event::Data(body));
+        report(self.run, head);
+        report(self.run, Event::Data(body));
         Ok(())
     }
 }
 
-/// Returns the mean probability of the answer's tokens.
+/// Returns the confidence in an answer: the geometric mean of its tokens' probabilities.
 fn confidence(choices: &[Choice]) -> Option<Confidence> {
     let tokens = choices.first()?.logprobs.as_ref()?.content.as_ref()?;
     let sum: f64 = tokens.iter().map(|t| t.logprob).sum();
@@ -315,7 +317,7 @@
     (n > 0).then(|| Confidence((sum / n as f64).exp()))
 }
 
-/// Returns the place after the last whole event.
+/// Returns the offset after the last complete event.
 fn end_of_events(buf: &[u8]) -> Option<usize> {
     buf.windows(2)
         .rposition(|pair| pair == b"\n\n")
