--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -1,4 +1,4 @@
-//! Which sidecars an entry keeps links to, and how it gets them back.
+//! Selects the sidecars that an entry has links to, and reconnects broken links.
 
 use crate::clock;
 use crate::clock::random_fraction;
@@ -18,73 +18,75 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The mean time between two readings of the list of instances.
-const READ_EVERY: Duration = Duration::from_millis(1000);
-/// The pause before a link is tried again; it doubles up to the longest, and
-/// each is drawn between one half and one and a half of that.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
-/// The log lines are for changes of state, so only the first failure has one.
-const SAY_AT: u32 = 1;
+/// The mean interval between two reads of the list of instances.
+const READ_INTERVAL: Duration = Duration::from_millis(1000);
+/// The first and longest pause before a link is reconnected. The pause doubles after
+/// each attempt and is jittered between 0.5 and 1.5 times its value.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
+/// The number of the consecutive failure that is logged. Only the first one is, since log
+/// lines are for changes of state.
+const LOGGED_FAILURE: u32 = 1;
 
-/// What the keeper of links works with.
+/// The dependencies of the task that maintains the links.
 #[derive(Clone)]
 pub struct Context {
-    /// This instance.
+    /// The name of this instance.
     pub me: InstanceId,
-    /// The run of this process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
     /// The platform.
     pub platform: Platform,
-    /// The keys of links.
+    /// The keys for authenticating links.
     pub keys: Keys,
-    /// Link addresses that are tried whatever the list says.
+    /// Link addresses that are always connected to, whether or not the list has them.
     pub fixed: Vec<SocketAddr>,
-    /// The way to the loop.
+    /// The channel to the event loop.
     pub send: Sender<Message>,
-    /// The bytes that go over links.
+    /// The counters of bytes sent and received over links.
     pub traffic: Arc<Traffic>,
 }
 
-type Wanted = Arc<Mutex<BTreeSet<SocketAddr>>>;
+/// The addresses that links are kept to.
+type Targets = Arc<Mutex<BTreeSet<SocketAddr>>>;
 
-/// Keeps links to the sidecars of the subset for as long as the loop runs.
-pub async fn maintain(directory: Context) {
-    let wanted: Wanted = Arc::default();
-    let numbers = Arc::new(AtomicU64::new(1));
+/// Maintains links to the sidecars of this entry's subset until the event loop ends.
+pub async fn maintain(context: Context) {
+    let targets: Targets = Arc::default();
+    let next_link = Arc::new(AtomicU64::new(1));
     let mut last: Option<Vec<Instance>> = None;
     let mut running: BTreeSet<SocketAddr> = BTreeSet::new();
-    while !directory.send.is_closed() {
-        if let Ok(list) = directory.platform.instances().await {
+    while !context.send.is_closed() {
+        if let Ok(list) = context.platform.instances().await {
             if last.as_ref() != Some(&list) {
                 let message = Message::Instances(list.clone());
-                let _ = directory.send.send(message).await;
+                let _ = context.send.send(message).await;
                 last = Some(list);
             }
         }
         let list = last.as_deref().unwrap_or_default();
-        let mut now = choose(&directory.me, list);
-        now.extend(&directory.fixed);
-        for address in &now {
+        let mut selected = select(&context.me, list);
+        selected.extend(&context.fixed);
+        for address in &selected {
             if running.insert(*address) {
                 let dialer = Dialer {
-                    directory: directory.clone(),
+                    context: context.clone(),
                     address: *address,
-                    wanted: wanted.clone(),
-                    numbers: numbers.clone(),
+                    targets: targets.clone(),
+                    next_link: next_link.clone(),
                 };
-                wanted.lock().await.insert(*address);
+                targets.lock().await.insert(*address);
                 task::spawn(dialer.run());
             }
         }
-        running.retain(|address| now.contains(address));
-        *wanted.lock().await = now;
-        task::sleep(READ_EVERY.mul_f64(0.5 + random_fraction())).await;
+        running.retain(|address| selected.contains(address));
+        *targets.lock().await = selected;
+        task::sleep(READ_INTERVAL.mul_f64(0.5 + random_fraction())).await;
     }
 }
 
-/// Returns the addresses of the sidecars that this entry is to be linked to.
-fn choose(me: &InstanceId, list: &[Instance]) -> BTreeSet<SocketAddr> {
+/// Returns the addresses of the sidecars in the subset of this entry.
+fn select(me: &InstanceId, list: &[Instance]) -> BTreeSet<SocketAddr> {
     let entries: Vec<InstanceId> = list
         .iter()
         .filter(|i| i.role == Role::Entry)
@@ -100,60 +102,60 @@
     chosen.iter().map(|name| sidecars[name]).collect()
 }
 
-/// Keeps one link up for as long as it is wanted.
+/// Keeps a link connected as long as its address is in the set of targets.
 struct Dialer {
-    directory: Context,
+    context: Context,
     address: SocketAddr,
-    wanted: Wanted,
-    numbers: Arc<AtomicU64>,
+    targets: Targets,
+    next_link: Arc<AtomicU64>,
 }
 
 impl Dialer {
     async fn run(self) {
-        let mut pause = FIRST_PAUSE;
+        let mut pause = MIN_BACKOFF;
         let mut failures = 0;
-        while self.is_wanted().await {
+        while self.is_target().await {
             match self.connect().await {
                 Ok(open) => {
-                    info!("linked to {}", self.address);
-                    self.hold(open).await;
-                    info!("the link to {} is gone", self.address);
-                    pause = FIRST_PAUSE;
+                    info!("connected link to {}", self.address);
+                    self.serve(open).await;
+                    info!("link to {} closed", self.address);
+                    pause = MIN_BACKOFF;
                     failures = 0;
                 }
                 Err(e) => {
                     failures += 1;
-                    if failures == SAY_AT {
-                        warn!("no link to {}: {e}", self.address);
+                    if failures == LOGGED_FAILURE {
+                        warn!("failed to connect link to {}: {e}", self.address);
                     }
                 }
             }
             task::sleep(pause.mul_f64(0.5 + random_fraction())).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_BACKOFF);
         }
     }
 
-    async fn is_wanted(&self) -> bool {
-        !self.directory.send.is_closed() && self.wanted.lock().await.contains(&self.address)
+    async fn is_target(&self) -> bool {
+        !self.context.send.is_closed() && self.targets.lock().await.contains(&self.address)
     }
 
     async fn connect(&self) -> eyre::Result<link::Open> {
-        let directory = &self.directory;
+        let context = &self.context;
         link::connect(
             self.address,
-            &directory.keys,
-            directory.incarnation,
+            &context.keys,
+            context.incarnation,
             clock::random(),
         )
         .await
     }
 
-    /// Runs a link until it breaks.
-    async fn hold(&self, open: link::Open) {
-        let number: Link = self.numbers.fetch_add(1, Ordering::Relaxed);
+    /// Passes the events of a link to the event loop until the link closes.
+    async fn serve(&self, open: link::Open) {
+        let number: Link = self.next_link.fetch_add(1, Ordering::Relaxed);
         let (events, incoming) = async_channel::bounded(64);
-        let outbox = open.run(number, events, self.directory.traffic.clone());
-        let send = &self.directory.send;
+        let outbox = open.run(number, events, self.context.traffic.clone());
+        let send = &self.context.send;
         if send.send(Message::LinkUp(number, outbox)).await.is_err() {
             return;
         }
--- a/crates/daemon/src/propagation.rs
+++ b/crates/daemon/src/propagation.rs
@@ -1,10 +1,11 @@
-//! How an accepted configuration comes to be in force everywhere.
+//! Propagation of accepted configurations to all processes.
 //!
-//! Accepted is what the transaction took that raised the revision in the row
-//! [`HEAD`]. Every process reads that row at jittered intervals; besides, the
-//! revision rides on the links, and who is behind asks the other end for what
-//! it lacks. So a change spreads also when the platform goes down just after,
-//! and an instance that starts empty during an outage learns it from others.
+//! A change is accepted when the transaction commits that raises the revision in the
+//! row [`HEAD`]. Every process polls that row at jittered intervals. In addition,
+//! frames on links carry the sender's revision, and a process with an older one requests
+//! the missing changes from the other end. So a change propagates even if the
+//! platform fails right after accepting it, and an instance that starts without a
+//! configuration during an outage gets it from its links.
 
 use crate::clock::random_fraction;
 use async_channel::Sender;
@@ -22,48 +23,48 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The row that tells the accepted revision.
+/// The key of the row with the accepted revision.
 pub const HEAD: &str = "config/head";
-/// The revisions from one whole copy in the object store to the next.
-const SNAPSHOT_EVERY: u64 = 32;
-/// The changes that stay in the table.
-const KEPT: u64 = 256;
-/// The mean time between two reads of the head: 960 processes then take 480 of
-/// the 2,000 reads a second.
-const POLL: Duration = Duration::from_secs(2);
+/// The number of revisions from one snapshot in the object store to the next.
+const SNAPSHOT_INTERVAL: u64 = 32;
+/// The number of changes that are kept in the table.
+const RETAINED_CHANGES: u64 = 256;
+/// The mean interval between two reads of the head. With it, 960 processes use 480 of
+/// the platform's 2,000 reads per second.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// When an answer to a call for missing changes is overdue.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+/// The time after which an unanswered request for missing changes is repeated.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The accepted revision and where its latest whole copy is.
+/// The accepted revision and the latest snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     /// The accepted revision.
     pub revision: Revision,
-    /// The name of the latest whole copy, if there is one.
+    /// The name of the latest snapshot's object, if there is one.
     pub snapshot: Option<String>,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The revision.
     pub revision: Revision,
-    /// The entries.
+    /// The entries of the settings tree, by key.
     pub entries: BTreeMap<String, Value>,
 }
 
-/// What brings a process forward.
+/// An update from an older configuration to a newer one.
 #[derive(Clone, Debug)]
 pub enum Transfer {
-    /// A whole configuration.
+    /// A complete configuration.
     Snapshot(Snapshot),
-    /// The changes that follow.
+    /// The changes that follow the older configuration, in order of revision.
     Changes(Vec<Change>),
 }
 
 impl Snapshot {
-    /// Makes the snapshot of a tree.
+    /// Creates the snapshot of a tree.
     pub fn from_tree(tree: &Tree) -> Snapshot {
         let entry = |(key, value): (&Key, &Value)| (key.to_string(), value.clone());
         Snapshot {
@@ -72,7 +73,7 @@
         }
     }
 
-    fn keyed(self) -> sorreldeck::Result<BTreeMap<Key, Value>> {
+    fn into_entries(self) -> sorreldeck::Result<BTreeMap<Key, Value>> {
         let entries = self.entries.into_iter();
         entries
             .map(|(key, value)| Ok((key.parse()?, value)))
@@ -84,13 +85,14 @@
     format!("config/change/{:012}", revision.0)
 }
 
-/// Keeps a process that is behind from asking everyone at once.
+/// Limits requests for missing changes, so that a process with an old revision does not
+/// send one on every link at once.
 #[derive(Debug, Default)]
 pub struct Throttle(Option<(Revision, Instant)>);
 
 impl Throttle {
-    /// Returns whether a process at revision `own` is to ask now: it has not
-    /// asked since it came to that revision, or the answer is overdue.
+    /// Returns whether a process at revision `own` may request changes now: it has sent no
+    /// request since it reached that revision, or the answer is overdue.
     ///
     /// ```
     /// use sorreldeck::Revision;
@@ -102,9 +104,9 @@
     /// assert!(throttle.admits(Revision(2)));
     /// ```
     pub fn admits(&mut self, own: Revision) -> bool {
-        let waits =
-            |(revision, at): (Revision, Instant)| revision == own && at.elapsed() < ASK_AGAIN;
-        if self.0.is_some_and(waits) {
+        let is_pending =
+            |(revision, at): (Revision, Instant)| revision == own && at.elapsed() < FETCH_TIMEOUT;
+        if self.0.is_some_and(is_pending) {
             return false;
         }
         self.0 = Some((own, Instant::now()));
@@ -112,21 +114,25 @@
     }
 }
 
-/// Puts news in force; returns the tree if it has changed.
-pub fn apply(config: &mut Config, news: Transfer) -> Option<Arc<Tree>> {
+/// Applies an update and returns the tree if its revision increased.
+///
+/// An update that cannot be applied is logged, and the configuration in force stays.
+pub fn apply(config: &mut Config, transfer: Transfer) -> Option<Arc<Tree>> {
     let before = config.revision();
-    let adopted = match news {
+    let applied = match transfer {
         Transfer::Snapshot(snapshot) => {
             let revision = snapshot.revision;
-            let replaced = snapshot.keyed().and_then(|e| config.replace(revision, e));
+            let replaced = snapshot
+                .into_entries()
+                .and_then(|e| config.replace(revision, e));
             replaced.map(drop)
         }
         Transfer::Changes(changes) => apply_all(config, &changes),
     };
-    if let Err(e) = adopted {
-        // An accepted change was checked, so this one came from a program of
-        // another version; the configuration in force stays.
-        warn!("a configuration was not understood: {e}");
+    if let Err(e) = applied {
+        // Changes are checked before they are accepted, so this one was written by
+        // another version of the program.
+        warn!("failed to apply a configuration update; the one in force stays: {e}");
     }
     (config.revision() > before).then(|| config.tree().clone())
 }
@@ -140,7 +146,8 @@
     Ok(())
 }
 
-/// Returns the frame that brings a process at `theirs` forward.
+/// Returns the frame that updates a process at revision `theirs`: the changes since then, or
+/// a snapshot if these are no longer retained.
 pub fn frame_since(config: &Config, theirs: Revision) -> Frame {
     match config.since(theirs) {
         Some(changes) => Frame::Changes(changes),
@@ -151,11 +158,12 @@
     }
 }
 
-/// Reads what follows a revision from the platform; `None` if nothing does.
+/// Reads the update that follows revision `known` from the platform, or `None` if there is
+/// none.
 ///
 /// # Errors
 ///
-/// Fails when the platform is out of reach.
+/// Fails if the platform is unavailable, or if a row or object is missing or malformed.
 pub async fn fetch(platform: &Platform, known: Revision) -> Result<Option<Transfer>> {
     let Some(head) = read_head(platform).await?.map(|(head, _)| head) else {
         return Ok(None);
@@ -164,7 +172,7 @@
         return Ok(None);
     }
     let behind = head.revision.0 - known.0;
-    if known > Revision(0) && behind <= SNAPSHOT_EVERY {
+    if known > Revision(0) && behind <= SNAPSHOT_INTERVAL {
         let changes = read_changes(platform, known, head.revision).await?;
         return Ok(Some(Transfer::Changes(changes)));
     }
@@ -175,7 +183,7 @@
     let data = platform
         .get_object(&name)
         .await?
-        .ok_or_else(|| eyre!("the object {name} is gone"))?;
+        .ok_or_else(|| eyre!("object {name} not found"))?;
     Ok(Some(Transfer::Snapshot(serde_json::from_slice(&data)?)))
 }
 
@@ -194,7 +202,7 @@
     while next <= last {
         let key = change_key(next);
         let Some(row) = platform.get(&key).await? else {
-            bail!("the row {key} is gone");
+            bail!("row {key} not found");
         };
         changes.push(serde_json::from_value(row.value)?);
         next = next.next();
@@ -202,66 +210,67 @@
     Ok(changes)
 }
 
-/// Reads the head at jittered intervals and sends the loop what is news, for as
-/// long as the loop runs.
+/// Polls the head at jittered intervals and sends updates to the event loop until the
+/// loop ends.
 pub async fn poll<M>(platform: Platform, send: Sender<M>, message: fn(Transfer) -> M) {
     let mut known = Revision(0);
     while !send.is_closed() {
-        if let Ok(Some(news)) = fetch(&platform, known).await {
-            known = match &news {
+        if let Ok(Some(transfer)) = fetch(&platform, known).await {
+            known = match &transfer {
                 Transfer::Snapshot(snapshot) => snapshot.revision,
                 Transfer::Changes(changes) => changes.last().map_or(known, |c| c.revision),
             };
-            // A loop that has ended wants no news.
-            let _ = send.send(message(news)).await;
+            // Fails only when the loop has ended.
+            let _ = send.send(message(transfer)).await;
         }
-        task::sleep(POLL.mul_f64(0.5 + random_fraction())).await;
+        task::sleep(POLL_INTERVAL.mul_f64(0.5 + random_fraction())).await;
     }
 }
 
-/// What became of a change that an operator wanted.
+/// The outcome of submitting a proposal.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It is accepted.
+    /// The change is accepted.
     Accepted(Change),
-    /// Another change was accepted before; this one had no effect.
+    /// Another change was accepted first, so this one had no effect. Holds the accepted
+    /// revision.
     Conflict(Revision),
-    /// The platform gave no answer; it may or may not be accepted. Repeating
-    /// it with the same ticket tells.
+    /// The platform did not answer, so the change may or may not be accepted. Repeating
+    /// it with the same ticket resolves this.
     Unknown(String),
-    /// The platform is out of reach; it is not accepted.
+    /// The platform is unavailable and the change is not accepted.
     Unavailable(String),
 }
 
-/// A change that an operator or controller wants.
+/// A change that an operator or the controller proposes.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Who wants it.
+    /// The name of the operator or controller.
     pub author: String,
-    /// The number by which a repeated try is recognised.
+    /// The number by which a repeated submission is recognised.
     pub ticket: u64,
     /// The edits.
     pub edits: Vec<Edit>,
-    /// The row and version of a lease that must still be held.
+    /// The key and version of a lease row; a change of the row makes the submission fail.
     pub lease: Option<(String, u64)>,
 }
 
-/// Tries to have a change accepted that follows on `base`.
+/// Submits a change that is based on the revision of `base`.
 ///
 /// # Errors
 ///
-/// Fails with [`Category::Invalid`] when the change breaks a rule of the tree.
+/// Fails with [`Category::Invalid`] if the change violates a rule of the settings tree.
 pub async fn submit(
     platform: &Platform,
     base: &Tree,
-    wish: Proposal,
+    proposal: Proposal,
 ) -> sorreldeck::Result<Outcome> {
     let revision = base.revision().next();
     let change = Change {
         revision,
-        author: wish.author,
-        ticket: wish.ticket,
-        edits: wish.edits,
+        author: proposal.author,
+        ticket: proposal.ticket,
+        edits: proposal.edits,
     };
     let tree = base.with(&change.edits, revision)?;
     let (head, version) = match read_head(platform).await {
@@ -277,16 +286,16 @@
         Err(trouble) => return Ok(Outcome::Unavailable(trouble.to_string())),
     };
     let head = Head { revision, snapshot };
-    let transaction = transaction(&head, version, &change, wish.lease)?;
+    let transaction = transaction(&head, version, &change, proposal.lease)?;
     match platform.commit(&transaction).await {
         Ok(Commit::Done) => Ok(Outcome::Accepted(change)),
-        Ok(Commit::Conflict(_)) => Ok(settle(platform, change).await),
-        Err(Trouble::Unknown(_)) => Ok(settle(platform, change).await),
+        Ok(Commit::Conflict(_)) => Ok(resolve(platform, change).await),
+        Err(Trouble::Unknown(_)) => Ok(resolve(platform, change).await),
         Err(trouble) => Ok(Outcome::Unavailable(trouble.to_string())),
     }
 }
 
-/// Writes a whole copy where one is due; returns the name of the latest one.
+/// Writes a snapshot if one is due and returns the name of the latest one.
 async fn snapshot(
     platform: &Platform,
     tree: &Tree,
@@ -294,10 +303,11 @@
     ticket: u64,
 ) -> Result<Option<String>, Trouble> {
     let revision = tree.revision().0;
-    if revision % SNAPSHOT_EVERY != 0 && (head.snapshot.is_some() || revision > 1) {
+    if revision % SNAPSHOT_INTERVAL != 0 && (head.snapshot.is_some() || revision > 1) {
         return Ok(head.snapshot.clone());
     }
-    // The ticket keeps two operators that race from writing the same object.
+    // The ticket in the name prevents two concurrent submissions from writing the same
+    // object.
     let name = format!("config/snapshot/{revision}-{ticket:016x}");
     let data = serde_json::to_vec(&Snapshot::from_tree(tree))
         .map_err(|e| Trouble::Refused(e.to_string()))?;
@@ -319,8 +329,9 @@
             change_key(change.revision),
             serde_json::to_value(change).map_err(json)?,
         );
-    if change.revision.0 > KEPT {
-        transaction = transaction.remove(change_key(Revision(change.revision.0 - KEPT)));
+    if change.revision.0 > RETAINED_CHANGES {
+        transaction =
+            transaction.remove(change_key(Revision(change.revision.0 - RETAINED_CHANGES)));
     }
     if let Some((row, version)) = lease {
         transaction = transaction.expect(row, version);
@@ -328,8 +339,8 @@
     Ok(transaction)
 }
 
-/// Finds out whether a change whose answer was lost was accepted.
-async fn settle(platform: &Platform, change: Change) -> Outcome {
+/// Reads whether a change was accepted, after a conflict or a lost answer.
+async fn resolve(platform: &Platform, change: Change) -> Outcome {
     for _ in 0..3 {
         match platform.get(&change_key(change.revision)).await {
             Ok(Some(row)) => {
--- a/crates/daemon/tests/regression/second_change_was_not_asked_for.rs
+++ b/crates/daemon/tests/regression/second_change_was_not_asked_for.rs
@@ -7,9 +7,12 @@
 
 #[test]
 fn a_process_that_has_come_forward_may_ask_at_once() {
-    let mut asker = Throttle::default();
+    let mut throttle = Throttle::default();
     for revision in 1..100 {
-        assert!(asker.admits(Revision(revision)));
-        assert!(!asker.admits(Revision(revision)), "an answer is on its way");
+        assert!(throttle.admits(Revision(revision)));
+        assert!(
+            !throttle.admits(Revision(revision)),
+            "an answer is on its way"
+        );
     }
 }
