--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tide::{Body, Request, Response};
 
-/// The header that states the revision on which a change is based.
+/// The header with the revision that a change is based on.
 pub const IF_MATCH: &str = "if-match";
 /// The header with the number by which a repeated change is recognised.
 pub const TICKET: &str = "x-sorreldeck-ticket";
@@ -21,36 +21,36 @@
 mod explain;
 mod halls;
 
-/// Adds the paths of operators.
+/// Adds the routes for operators.
 pub fn routes(app: &mut tide::Server<Shared>) {
     app.at("/admin/v1/tree").get(tree_of);
     app.at("/admin/v1/entries/*key").get(entry);
     app.at("/admin/v1/effective").get(effective);
     app.at("/admin/v1/effective/*path").get(effective);
     app.at("/admin/v1/changes").post(change);
-    app.at("/admin/v1/changes/:ticket").get(look_up);
+    app.at("/admin/v1/changes/:ticket").get(change_by_ticket);
     app.at("/admin/v1/versions/:name/withdraw").post(withdraw);
-    app.at("/admin/v1/rollouts/:name/:intent").post(steer);
+    app.at("/admin/v1/rollouts/:name/:intent").post(set_intent);
     app.at("/admin/v1/status").get(status);
-    app.at("/admin/v1/halls/:hall").get(halls::relief);
+    app.at("/admin/v1/halls/:hall").get(halls::evacuation);
     app.at("/admin/v1/bill").get(bill::bill);
     app.at("/admin/v1/explain").post(explain::explain);
     app.at("/admin/v1/explain/:request")
         .get(explain::explain_past);
 }
 
-/// Who asks, and the branch that is open to them.
+/// An authenticated operator and the branch of the tree it may access.
 struct Operator {
     name: String,
     branch: NodePath,
 }
 
-/// A failure of an operator's call.
+/// The error of an operator's call.
 struct Refusal {
     status: u16,
     code: &'static str,
     message: String,
-    extra: Value,
+    detail: Value,
 }
 
 impl Refusal {
@@ -59,7 +59,7 @@
             status,
             code,
             message: message.into(),
-            extra: Value::Null,
+            detail: Value::Null,
         }
     }
 
@@ -67,7 +67,7 @@
         let body = json!({"error": {
             "code": self.code,
             "message": self.message,
-            "detail": self.extra,
+            "detail": self.detail,
         }});
         Response::builder(self.status).body(body).build()
     }
@@ -83,7 +83,7 @@
             Category::Unavailable => (503, "unavailable"),
         };
         let mut refusal = Refusal::new(status, code, e.to_string());
-        refusal.extra = json!({"place": e.place()});
+        refusal.detail = json!({"place": e.place()});
         refusal
     }
 }
@@ -129,7 +129,7 @@
         tree.owner(key).is_within(&self.branch)
     }
 
-    /// Checks that an entry may be read.
+    /// Checks that the operator may read an entry.
     fn may_read(&self, tree: &Tree, key: &Key) -> Result<(), Refusal> {
         match self.sees(tree, key) {
             true => Ok(()),
@@ -137,13 +137,14 @@
         }
     }
 
-    /// Checks that an edit stays within the branch, before and after it.
+    /// Checks that the owner of the edited entry is within the branch, both before and after
+    /// the edit.
     fn may_edit(&self, tree: &Tree, edit: &Edit) -> Result<(), Refusal> {
         if edit.key.section == Section::Progress {
             let message = "the record of a roll-out is written by its controller only";
             return Err(Refusal::new(403, "denied", message));
         }
-        let stays = match (&edit.new, edit.key.section) {
+        let after = match (&edit.new, edit.key.section) {
             (_, Section::Nodes) | (None, _) => true,
             (Some(new), _) => new_owner(new).is_within(&self.branch),
         };
@@ -152,7 +153,7 @@
             (false, section) if section != Section::Nodes => true,
             _ => self.sees(tree, &edit.key),
         };
-        match stays && before {
+        match before && after {
             true => Ok(()),
             false => Err(self.outside(&edit.key)),
         }
@@ -184,13 +185,13 @@
     reply((|| {
         let operator = operator(&request)?;
         let tree = request.state().tree();
-        let seen = tree
+        let visible = tree
             .entries()
             .iter()
             .filter(|(k, _)| operator.sees(&tree, k));
         json_response(&Listing {
             revision: tree.revision(),
-            entries: seen.map(|(k, v)| (k.to_string(), v.clone())).collect(),
+            entries: visible.map(|(k, v)| (k.to_string(), v.clone())).collect(),
         })
     })())
 }
@@ -226,22 +227,22 @@
     })())
 }
 
-/// A change as an operator asks for it.
+/// The body of a request for a change.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Wanted {
-    /// A document whose entries are put.
+struct ChangeRequest {
+    /// A document with the entries to insert or replace.
     document: Option<String>,
     /// The format of the document: `toml` or `json`.
     #[serde(default)]
     format: Format,
-    /// Entries that are removed.
+    /// The entries to remove.
     #[serde(default)]
     remove: Vec<Key>,
-    /// Whether entries of the branch that the document lacks are removed.
+    /// Whether to remove the entries of the branch that are not in the document.
     #[serde(default)]
     prune: bool,
-    /// Whether the change is only checked and shown.
+    /// Whether to check the change and return its edits without submitting it.
     #[serde(default)]
     dry_run: bool,
 }
@@ -257,12 +258,12 @@
 async fn change(mut request: Request<Shared>) -> tide::Result {
     let body = request.body_bytes().await?;
     let answer = async {
-        let wanted: Wanted = serde_json::from_slice(&body)
+        let change_request: ChangeRequest = serde_json::from_slice(&body)
             .map_err(|e| Refusal::new(400, "bad_request", e.to_string()))?;
         let operator = operator(&request)?;
         let tree = request.state().tree();
-        let edits = edits_of(&operator, &tree, &wanted)?;
-        if wanted.dry_run {
+        let edits = edits_of(&operator, &tree, &change_request)?;
+        if change_request.dry_run {
             return dry_run(&operator, &tree, &edits);
         }
         submit(&request, &operator, tree, edits).await
@@ -270,8 +271,12 @@
     reply(answer.await)
 }
 
-fn edits_of(operator: &Operator, tree: &Tree, wanted: &Wanted) -> Result<Vec<Edit>, Refusal> {
-    let put = match (&wanted.document, wanted.format) {
+fn edits_of(
+    operator: &Operator,
+    tree: &Tree,
+    change_request: &ChangeRequest,
+) -> Result<Vec<Edit>, Refusal> {
+    let put = match (&change_request.document, change_request.format) {
         (None, _) => BTreeMap::new(),
         (Some(text), Format::Toml) => tree::parse_toml(text)?,
         (Some(text), Format::Json) => tree::parse_json(text)?,
@@ -288,11 +293,11 @@
         }
     }
     for (key, old) in tree.entries() {
-        let pruned = wanted.prune
+        let pruned = change_request.prune
             && !put.contains_key(key)
             && key.section != Section::Progress
             && operator.sees(tree, key);
-        if pruned || wanted.remove.contains(key) {
+        if pruned || change_request.remove.contains(key) {
             edits.push(Edit {
                 key: key.clone(),
                 old: Some(old.clone()),
@@ -300,7 +305,7 @@
             });
         }
     }
-    let missing = wanted
+    let missing = change_request
         .remove
         .iter()
         .find(|k| !tree.entries().contains_key(k));
@@ -322,7 +327,7 @@
     json_response(&json!({"revision": tree.revision(), "accepted": false, "edits": edits}))
 }
 
-/// Submits a change and tells what became of it.
+/// Submits a change and returns the response for its outcome.
 async fn submit(
     request: &Request<Shared>,
     operator: &Operator,
@@ -331,8 +336,8 @@
 ) -> Answer {
     let shared = request.state();
     let ticket = ticket(request)?;
-    // A repeated change whose first answer was lost is not made twice.
-    if let Some(change) = accepted_before(shared, ticket).await {
+    // A submission that is repeated because its answer was lost must not take effect twice.
+    if let Some(change) = find_accepted(shared, ticket).await {
         return accepted(&change);
     }
     let base: Revision = match request.header(IF_MATCH) {
@@ -349,28 +354,29 @@
         operator.may_edit(&tree, edit)?;
     }
     if edits.is_empty() {
-        let nothing = json!({"revision": tree.revision(), "accepted": true, "edits": []});
-        return json_response(&nothing);
+        let unchanged = json!({"revision": tree.revision(), "accepted": true, "edits": []});
+        return json_response(&unchanged);
     }
-    let wish = Proposal {
+    let proposal = Proposal {
         author: operator.name.clone(),
         ticket,
         edits,
         lease: None,
     };
-    match propagation::submit(&shared.platform, &tree, wish).await? {
+    match propagation::submit(&shared.platform, &tree, proposal).await? {
         Outcome::Accepted(change) => {
-            let news = Transfer::Changes(vec![change.clone()]);
-            // In force here before it is answered: the operator's next call
-            // must find it.
-            shared.query(move |room| room.apply(news)).await;
+            let transfer = Transfer::Changes(vec![change.clone()]);
+            // Applied here before the response, so that the operator's next call sees it.
+            shared
+                .query(move |event_loop| event_loop.apply(transfer))
+                .await;
             accepted(&change)
         }
         Outcome::Conflict(revision) => Err(conflict(base, revision)),
         Outcome::Unknown(message) => {
             let message = format!("whether the change was accepted is not known; repeat it with the same ticket: {message}");
             let mut refusal = Refusal::new(504, "unknown", message);
-            refusal.extra = json!({"ticket": format!("{ticket:016x}")});
+            refusal.detail = json!({"ticket": format!("{ticket:016x}")});
             Err(refusal)
         }
         Outcome::Unavailable(message) => Err(Refusal::new(503, "store_down", message)),
@@ -394,17 +400,18 @@
     })
 }
 
-async fn accepted_before(shared: &Shared, ticket: u64) -> Option<Change> {
-    // Another entry may have accepted it a moment ago.
+/// Returns the accepted change with a ticket, if it is among the retained ones.
+async fn find_accepted(shared: &Shared, ticket: u64) -> Option<Change> {
+    // Fetches changes that were accepted through other entries in the meantime.
     let known = shared.tree().revision();
-    if let Ok(Some(news)) = propagation::fetch(&shared.platform, known).await {
-        let _ = shared.send.send(Message::Config(news)).await;
+    if let Ok(Some(transfer)) = propagation::fetch(&shared.platform, known).await {
+        let _ = shared.send.send(Message::Config(transfer)).await;
     }
-    let find = move |room: &mut crate::entry::EventLoop| {
-        let changes = room
+    let find = move |event_loop: &mut crate::entry::EventLoop| {
+        let changes = event_loop
             .config
             .since(Revision(0))
-            .or_else(|| room.config.retained());
+            .or_else(|| event_loop.config.retained());
         changes.and_then(|all| all.into_iter().find(|c| c.ticket == ticket))
     };
     shared.query(find).await.flatten()
@@ -422,15 +429,15 @@
 fn conflict(base: Revision, now: Revision) -> Refusal {
     let message = format!("the change is based on revision {base}, but revision {now} is accepted; nothing was changed");
     let mut refusal = Refusal::new(409, "conflict", message);
-    refusal.extra = json!({"base": base, "revision": now});
+    refusal.detail = json!({"base": base, "revision": now});
     refusal
 }
 
-async fn look_up(request: Request<Shared>) -> tide::Result {
+async fn change_by_ticket(request: Request<Shared>) -> tide::Result {
     let answer = async {
         operator(&request)?;
         let ticket = parse_ticket(request.param("ticket").unwrap_or_default())?;
-        match accepted_before(request.state(), ticket).await {
+        match find_accepted(request.state(), ticket).await {
             Some(change) => accepted(&change),
             None => Err(Refusal::new(
                 404,
@@ -442,7 +449,7 @@
     reply(answer.await)
 }
 
-/// Sets one field of an entry, as a change of its own.
+/// Submits a change that sets one field of an entry.
 async fn set_field(request: &Request<Shared>, key: Key, field: &str, value: Value) -> Answer {
     let operator = operator(request)?;
     let tree = request.state().tree();
@@ -457,8 +464,8 @@
     fields.insert(field.to_owned(), value);
     let new = Some(Value::Object(fields));
     if new == old {
-        let nothing = json!({"revision": tree.revision(), "accepted": true, "edits": []});
-        return json_response(&nothing);
+        let unchanged = json!({"revision": tree.revision(), "accepted": true, "edits": []});
+        return json_response(&unchanged);
     }
     let edit = Edit { key, old, new };
     submit(request, &operator, tree, vec![edit]).await
@@ -469,7 +476,7 @@
     reply(set_field(&request, key, "state", "withdrawn".into()).await)
 }
 
-async fn steer(request: Request<Shared>) -> tide::Result {
+async fn set_intent(request: Request<Shared>) -> tide::Result {
     let key = Key::new(Section::Rollouts, request.param("name").unwrap_or_default());
     let intent = match request.param("intent").unwrap_or_default() {
         "start" => "running",
@@ -483,41 +490,41 @@
     reply(set_field(&request, key, "intent", intent.into()).await)
 }
 
-/// Has the entry's loop answer.
-async fn ask<T: Send + 'static>(
+/// Runs a closure on the entry's event loop and returns its result.
+async fn query<T: Send + 'static>(
     request: &Request<Shared>,
-    ask: impl FnOnce(&mut EventLoop) -> T + Send + 'static,
+    query: impl FnOnce(&mut EventLoop) -> T + Send + 'static,
 ) -> Result<T, Refusal> {
-    let answer = request.state().query(ask).await;
+    let answer = request.state().query(query).await;
     answer.ok_or_else(|| Refusal::new(503, "leaving", "this entry has stopped"))
 }
 
 async fn status(request: Request<Shared>) -> tide::Result {
     let answer = async {
         let operator = operator(&request)?;
-        let status = ask(&request, move |room| status_of(room, &operator)).await?;
+        let status = query(&request, move |event_loop| status_of(event_loop, &operator)).await?;
         json_response(&status)
     };
     reply(answer.await)
 }
 
-fn status_of(room: &mut EventLoop, operator: &Operator) -> Value {
-    let tree = room.entry.tree().clone();
-    let now = room.clock.now();
-    let upstreams: Vec<Value> = room
+fn status_of(event_loop: &mut EventLoop, operator: &Operator) -> Value {
+    let tree = event_loop.entry.tree().clone();
+    let now = event_loop.clock.now();
+    let upstreams: Vec<Value> = event_loop
         .entry
         .peers()
         .pools()
         .iter()
         .flat_map(|(pool, links)| links.iter().map(move |l| (pool, *l)))
-        .filter_map(|(pool, link)| Some((pool, link, room.entry.peers().get(link)?)))
+        .filter_map(|(pool, link)| Some((pool, link, event_loop.entry.peers().get(link)?)))
         .map(|(pool, link, peer)| {
             json!({
                 "upstream": peer.upstream,
                 "pool": pool,
                 "hall": peer.placement.hall,
-                "gets_work": room.entry.peers().gets_work(link),
-                "work": room.entry.peers().availability(link, now).map(|work| work.to_string()),
+                "gets_work": event_loop.entry.peers().gets_work(link),
+                "work": event_loop.entry.peers().availability(link, now).map(|availability| availability.to_string()),
                 "running": peer.load.running,
                 "slots": peer.load.slots,
                 "queued": peer.load.queued,
@@ -536,16 +543,16 @@
                 "to": rollout.to,
                 "intent": rollout.intent,
                 "record": tree.record(name),
-                "held_back_here": room.entry.monitor().is_suspect(&rollout.to),
+                "held_back_here": event_loop.entry.monitor().is_suspect(&rollout.to),
             })
         })
         .collect();
     json!({
         "revision": tree.revision(),
-        "in_flight": room.entry.in_flight(),
-        "unbilled": room.entry.unbilled(),
-        "evacuated": room.entry.peers().hall_states().evacuated(),
-        "instances": room.instances,
+        "in_flight": event_loop.entry.in_flight(),
+        "unbilled": event_loop.entry.unbilled(),
+        "evacuated": event_loop.entry.peers().hall_states().evacuated(),
+        "instances": event_loop.instances,
         "upstreams": upstreams,
         "rollouts": rollouts,
     })
--- a/crates/daemon/src/admin/bill.rs
+++ b/crates/daemon/src/admin/bill.rs
@@ -1,11 +1,11 @@
-//! What client accounts have to pay, from the records in the object store.
+//! The bills of client accounts, computed from the records in the object store.
 
 use super::*;
 use sorreldeck::bill::{Line, Record, Total};
 use sorreldeck_net::Platform;
 
 #[derive(Deserialize)]
-struct Days {
+struct Query {
     day: Option<u32>,
 }
 
@@ -20,10 +20,10 @@
 pub(super) async fn bill(request: Request<Shared>) -> tide::Result {
     let answer = async {
         let operator = operator(&request)?;
-        let days: Days = request
+        let query: Query = request
             .query()
             .map_err(|e| Refusal::new(400, "bad_request", e.to_string()))?;
-        let records = read_bill(&request.state().platform, days.day)
+        let records = read_bill(&request.state().platform, query.day)
             .await
             .map_err(|e| Refusal::new(503, "store_down", e.to_string()))?;
         let tree = request.state().tree();
@@ -37,7 +37,7 @@
     reply(answer.await)
 }
 
-/// Returns whether the client account of a record lies in the branch.
+/// Returns whether the client account of a record belongs to the operator's branch.
 fn is_within(tree: &Tree, operator: &Operator, record: &Record) -> bool {
     if operator.branch == NodePath::root() {
         return true;
--- a/crates/daemon/src/admin/explain.rs
+++ b/crates/daemon/src/admin/explain.rs
@@ -1,4 +1,4 @@
-//! Which rule, version and upstream a request got or would get, and why.
+//! Explains which rule, version and upstream a request got or would get.
 
 use super::*;
 use sorreldeck::entry::{Chat, Payload, Request as EntryRequest};
@@ -6,10 +6,10 @@
 use sorreldeck::wire::Call;
 use sorreldeck::{Failure, RequestId};
 
-/// A request as an operator describes it.
+/// A hypothetical request to explain.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Described {
+struct Description {
     node: NodePath,
     model: Option<String>,
     path: Option<String>,
@@ -22,19 +22,19 @@
 pub(super) async fn explain(mut request: Request<Shared>) -> tide::Result {
     let body = request.body_bytes().await?;
     let answer = async {
-        let described: Described = serde_json::from_slice(&body)
+        let description: Description = serde_json::from_slice(&body)
             .map_err(|e| Refusal::new(400, "bad_request", e.to_string()))?;
         let operator = operator(&request)?;
         let tree = request.state().tree();
-        operator.may_read(&tree, &Key::new(Section::Nodes, &described.node))?;
-        let class = described.class.as_deref();
-        let site = route::context(&tree, described.node.clone(), class).map_err(refusal_of)?;
-        let asked = ask_of(request.state(), described)?;
-        let explain = move |room: &mut EventLoop| {
-            let now = room.clock.now();
-            room.entry.explain(now, site, asked)
+        operator.may_read(&tree, &Key::new(Section::Nodes, &description.node))?;
+        let class = description.class.as_deref();
+        let context = route::context(&tree, description.node.clone(), class).map_err(refusal_of)?;
+        let entry_request = entry_request(request.state(), description)?;
+        let explain = move |event_loop: &mut EventLoop| {
+            let now = event_loop.clock.now();
+            event_loop.entry.explain(now, context, entry_request)
         };
-        let decision = ask(&request, explain).await?;
+        let decision = query(&request, explain).await?;
         json_response(&decision.map_err(refusal_of)?)
     };
     reply(answer.await)
@@ -48,15 +48,15 @@
     )
 }
 
-fn ask_of(shared: &Shared, described: Described) -> Result<EntryRequest, Refusal> {
-    let what = match (described.model, described.path) {
+fn entry_request(shared: &Shared, description: Description) -> Result<EntryRequest, Refusal> {
+    let parsed = match (description.model, description.path) {
         (Some(model), None) => {
             let body = json!({"model": model, "messages": []}).to_string();
             let chat = Chat::from_slice(body.as_bytes()).map_err(refusal_of)?;
             Payload::Chat(Box::new(chat))
         }
         (None, Some(path)) => Payload::Plain(Call {
-            method: described.method.unwrap_or_else(|| "GET".into()),
+            method: description.method.unwrap_or_else(|| "GET".into()),
             path,
             headers: Vec::new(),
             body: Vec::new(),
@@ -70,11 +70,11 @@
         request: shared.next_request(),
         key: None,
         route: None,
-        class: described.class,
-        session: described.session,
+        class: description.class,
+        session: description.session,
         at_most_once: false,
         idempotency_key: None,
-        payload: what,
+        payload: parsed,
     })
 }
 
@@ -84,7 +84,7 @@
         let id: RequestId = request.param("request").unwrap_or_default().parse()?;
         let decision = request
             .state()
-            .query(move |room| room.entry.history().get(id).cloned())
+            .query(move |event_loop| event_loop.entry.history().get(id).cloned())
             .await
             .flatten();
         let decision = decision.ok_or_else(|| {
--- a/crates/daemon/src/admin/halls.rs
+++ b/crates/daemon/src/admin/halls.rs
@@ -1,38 +1,39 @@
-//! What emptying a data hall would move.
+//! The expected impact of evacuating a data hall.
 
 use super::*;
 use sorreldeck::pick::Impact;
 use sorreldeck::Hall;
 
-/// One pool, with the answer to whether the others bear what moves.
+/// The impact on a pool, and whether its other data halls have event_loop for the moved requests.
 #[derive(Serialize)]
-struct PoolRelief {
+struct PoolImpact {
     #[serde(flatten)]
-    relief: Impact,
-    borne: bool,
+    impact: Impact,
+    #[serde(rename = "borne")]
+    fits: bool,
 }
 
-/// Answers what emptying a data hall would move, from the load that this entry knows of.
-pub(super) async fn relief(request: Request<Shared>) -> tide::Result {
+/// Responds with the impact of evacuating a data hall, from the load known to this entry.
+pub(super) async fn evacuation(request: Request<Shared>) -> tide::Result {
     let answer = async {
         operator(&request)?;
         let hall: Hall = request.param("hall").unwrap_or_default().parse()?;
-        let told = ask(&request, move |room| relief_of(room, &hall)).await?;
-        json_response(&told)
+        let impact = query(&request, move |event_loop| impact_of(event_loop, &hall)).await?;
+        json_response(&impact)
     };
     reply(answer.await)
 }
 
-fn relief_of(room: &mut EventLoop, hall: &Hall) -> Value {
-    let peers = room.entry.peers();
+fn impact_of(event_loop: &mut EventLoop, hall: &Hall) -> Value {
+    let peers = event_loop.entry.peers();
     let pools = peers
         .evacuation_impact(hall)
         .into_iter()
-        .map(|relief| PoolRelief {
-            borne: relief.fits(),
-            relief,
+        .map(|impact| PoolImpact {
+            fits: impact.fits(),
+            impact,
         });
-    let pools: Vec<PoolRelief> = pools.collect();
+    let pools: Vec<PoolImpact> = pools.collect();
     json!({
         "hall": hall,
         "evacuated": !peers.hall_states().is_open(Some(hall)),
