--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that the decisions are given.
+//! The clock from which the state machines get the time.
 //!
 //! ```
 //! use sorreldeck::Span;
@@ -16,22 +16,22 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A clock that counts from 1970-01-01 UTC and never goes back while the
-/// process runs, whatever happens to the system's clock.
+/// A clock that counts from 1970-01-01 UTC and is monotonic while the process runs, even if
+/// the system's clock is changed.
 ///
-/// It counts the time in which the machine is suspended. The steady clock of the runtime does
-/// not, so that after a suspension of seconds configuration, tables and leases would look
-/// that much newer than they are. Clones share one time.
+/// It includes time in which the machine is suspended. The monotonic clock of the runtime does
+/// not, so after a suspension configuration, tables and leases would appear newer than they
+/// are by its length. Clones show the same time.
 #[derive(Clone, Debug)]
 pub struct Clock {
     start: u64,
     offset: u64,
-    /// What was added by hand, in microseconds.
+    /// The simulated suspension time, in microseconds.
     suspended: Arc<AtomicU64>,
 }
 
 impl Clock {
-    /// Starts a clock at the system's time.
+    /// Creates a clock that starts at the system's time.
     pub fn start() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Clock {
@@ -41,20 +41,20 @@
         }
     }
 
-    /// Returns the time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         let passed = micros(ClockId::Boottime).saturating_sub(self.start);
         Time(self.offset + passed + self.suspended.load(Ordering::Relaxed))
     }
 
-    /// Returns how long the machine has been suspended since it started.
+    /// Returns the total time that the machine was suspended since it booted.
     pub fn suspended(&self) -> Span {
-        let asleep = micros(ClockId::Boottime).saturating_sub(micros(ClockId::Monotonic));
-        Span::from_micros(asleep + self.suspended.load(Ordering::Relaxed))
+        let suspended = micros(ClockId::Boottime).saturating_sub(micros(ClockId::Monotonic));
+        Span::from_micros(suspended + self.suspended.load(Ordering::Relaxed))
     }
 
-    /// Counts as if the machine had been suspended for this long, which nothing but a
-    /// suspension does otherwise.
+    /// Advances the clock as if the machine had been suspended for this time, to simulate a
+    /// suspension.
     pub fn suspend(&self, span: Span) {
         self.suspended.fetch_add(span.micros(), Ordering::Relaxed);
     }
@@ -69,7 +69,7 @@
 ///
 /// # Panics
 ///
-/// Panics when the system has no source of random bytes.
+/// Panics if the system has no source of random bytes.
 pub fn random<const N: usize>() -> [u8; N] {
     let mut buf = [0; N];
     getrandom::fill(&mut buf).expect("the system has a source of random bytes");
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop of a process: one thread, messages in, a tick every 20 ms.
+//! The event loop of a process: handles messages on one thread, with a tick every 20 ms.
 
 use async_channel::Receiver;
 use async_std::stream::{interval, StreamExt};
@@ -7,40 +7,40 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The time between two ticks.
+/// The interval between two ticks.
 const TICK: Duration = Duration::from_millis(20);
-/// The messages that are taken before the clock is looked at again.
-const AT_ONCE: usize = 256;
+/// The maximum number of queued messages that are handled before the next check for a tick.
+const BATCH: usize = 256;
 
-/// What a loop does next.
+/// Whether an event loop continues after a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
-    /// Go on.
+    /// Continue with the next message.
     Continue,
-    /// End.
+    /// End the loop.
     End,
 }
 
-/// Runs a loop until a tick ends it: `take` deals with a message, `tick` with
-/// the passing of time.
-pub async fn run<R, M>(
-    room: &mut R,
+/// Runs an event loop until a tick ends it. `handle` is called for each message, `tick` at
+/// each tick.
+pub async fn run<S, M>(
+    state: &mut S,
     receive: Receiver<M>,
-    take: fn(&mut R, M),
-    mut tick: impl FnMut(&mut R) -> Flow,
+    handle: fn(&mut S, M),
+    mut tick: impl FnMut(&mut S) -> Flow,
 ) {
     let mut ticked = Instant::now();
-    // One timer for all turns: setting one for each message costs more than
-    // most messages do.
+    // One timer for all iterations: setting a timer per message costs more than handling
+    // most messages.
     let mut ticks = interval(TICK);
     loop {
         let message = std::pin::pin!(receive.recv());
         if let Either::Left((Ok(message), _)) = select(message, ticks.next()).await {
-            take(room, message);
+            handle(state, message);
         }
-        for _ in 0..AT_ONCE {
+        for _ in 0..BATCH {
             match receive.try_recv() {
-                Ok(message) => take(room, message),
+                Ok(message) => handle(state, message),
                 Err(_) => break,
             }
         }
@@ -48,53 +48,54 @@
             continue;
         }
         ticked = Instant::now();
-        if tick(room) == Flow::End {
+        if tick(state) == Flow::End {
             return;
         }
     }
 }
 
-/// The planned stop of a loop, as seen from outside.
+/// A handle for stopping an event loop gracefully.
 #[derive(Clone, Debug)]
 pub struct Stop {
-    wanted: Arc<AtomicBool>,
+    requested: Arc<AtomicBool>,
     ended: Receiver<()>,
 }
 
 impl Stop {
-    /// Creates the handle of a loop that looks at `wanted` and closes `ended`.
-    pub fn new(wanted: Arc<AtomicBool>, ended: Receiver<()>) -> Stop {
-        Stop { wanted, ended }
+    /// Creates the handle of a loop that stops when `requested` is set and closes `ended` when
+    /// it has ended.
+    pub fn new(requested: Arc<AtomicBool>, ended: Receiver<()>) -> Stop {
+        Stop { requested, ended }
     }
 
-    /// Starts a planned stop.
+    /// Starts a graceful stop.
     pub fn start(&self) {
-        self.wanted.store(true, Ordering::Relaxed);
+        self.requested.store(true, Ordering::Relaxed);
     }
 
     /// Waits until the loop has ended.
     pub async fn ended(&self) {
-        // The channel carries nothing; it is closed by the loop's end.
+        // The channel carries no messages; the loop closes it when it ends.
         let _ = self.ended.recv().await;
     }
 }
 
-/// Returns a flag that SIGHUP raises.
+/// Returns a flag that is set on SIGHUP.
 ///
 /// # Errors
 ///
-/// Fails when the signal cannot be caught.
+/// Fails if the signal handler cannot be installed.
 pub fn reload_flag() -> std::io::Result<Arc<AtomicBool>> {
     let reload = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(signal_hook::consts::SIGHUP, reload.clone())?;
     Ok(reload)
 }
 
-/// Returns a flag that SIGTERM and SIGINT raise.
+/// Returns a flag that is set on SIGTERM and SIGINT.
 ///
 /// # Errors
 ///
-/// Fails when the signals cannot be caught.
+/// Fails if the signal handlers cannot be installed.
 pub fn stop_flag() -> std::io::Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,9 +1,9 @@
-//! The sorreldeck daemon: sockets, timers and the platform around the
-//! decisions of the `sorreldeck` library.
+//! The sorreldeck daemon: connects the state machines of the `sorreldeck` library to
+//! sockets, timers and the platform.
 //!
-//! Each role is one loop on one thread. Handlers, links and calls of the
-//! platform run as tasks that hand messages to the loop; the loop alone holds
-//! the state and decides.
+//! Each role has one event loop on one thread. Handlers, links and platform calls run as
+//! tasks that send messages to the event loop, which alone owns the state and makes the
+//! decisions.
 
 pub mod admin;
 pub mod callers;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms in the format of Prometheus.
+//! The metrics of a process, in the text format of Prometheus.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -12,91 +12,92 @@
 use sorreldeck_net::link::Traffic;
 use std::sync::atomic::Ordering;
 
-/// The client account and class of a request.
+/// The labels of histograms: client account and class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Who {
+struct RequestLabels {
     account: String,
     class: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Outcome {
+struct OutcomeLabels {
     account: String,
     class: String,
     outcome: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct OfPromise {
+struct InvariantLabels {
     promise: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct OfTable {
+struct TableLabels {
     table: String,
 }
 
-fn seconds() -> Histogram {
-    // 1 ms to 32 s, each bucket twice the one before.
+fn duration_histogram() -> Histogram {
+    // Bucket bounds from 1 ms to 32.8 s, doubling.
     Histogram::new(exponential_buckets(0.001, 2.0, 16))
 }
 
 /// The metrics of one process.
 pub struct Metrics {
     registry: Registry,
-    requests: Family<Outcome, Counter>,
-    first: Family<Who, Histogram>,
-    whole: Family<Who, Histogram>,
-    checked: Family<OfPromise, Gauge>,
-    violated: Family<OfPromise, Gauge>,
-    versions: Family<OfTable, Gauge>,
-    silences: Family<OfTable, Gauge>,
-    ignored: Counter,
+    requests: Family<OutcomeLabels, Counter>,
+    first_byte: Family<RequestLabels, Histogram>,
+    duration: Family<RequestLabels, Histogram>,
+    checked: Family<InvariantLabels, Gauge>,
+    violated: Family<InvariantLabels, Gauge>,
+    versions: Family<TableLabels, Gauge>,
+    silences: Family<TableLabels, Gauge>,
+    ignored_pages: Counter,
     gauges: Gauges,
 }
 
-/// Values that are read off when the metrics are asked for.
+/// Gauges that are set whenever the metrics are encoded.
 #[derive(Clone, Default)]
 pub struct Gauges {
     /// The revision in force.
     pub revision: Gauge,
-    /// When that came in force, in microseconds since 1970-01-01 UTC.
+    /// The time at which the revision came into force, in microseconds since 1970-01-01 UTC.
     pub revision_since: Gauge,
-    /// The links that are up.
+    /// The number of established links.
     pub links: Gauge,
-    /// How old what is known of the platform's store is, in milliseconds.
+    /// The age of the tables of the platform's store, in milliseconds; -1 before they are known.
     pub tables_age: Gauge,
-    /// The era that the platform's store told last, -1 if it told none.
+    /// The latest era of the platform's store, -1 if it is unknown.
     pub era: Gauge,
-    /// The requests under way.
+    /// The number of requests in progress.
     pub in_flight: Gauge,
-    /// The requests that are held back, since they crash upstreams.
+    /// The number of requests in quarantine because they crash upstreams.
     pub quarantined: Gauge,
-    /// The upstreams that count as cold, and get little.
+    /// The number of cold upstreams, which get few requests.
     pub cold: Gauge,
-    /// The upstreams that said that they leave.
+    /// The number of upstreams that announced that they are leaving.
     pub leaving: Gauge,
-    /// The upstreams that asked this entry for rest.
+    /// The number of upstreams that asked this entry for a pause.
     pub paused: Gauge,
-    /// The upstreams that take only so many requests a second from all entries.
+    /// The number of upstreams with a limit on the request rate of all entries together.
     pub limited: Gauge,
-    /// The data halls that get no work.
+    /// The number of evacuated data halls.
     pub evacuated: Gauge,
-    /// The reports of what client accounts used that the platform took of this entry.
+    /// The number of this entry's usage reports that the platform accepted.
     pub reports_taken: Gauge,
-    /// Those that it did not take, or of which nothing is known.
+    /// The number of this entry's usage reports that the platform rejected, or whose outcome
+    /// is unknown.
     pub reports_failed: Gauge,
-    /// The windows that are settled and not reported yet, as far as this entry knows.
+    /// The number of settled windows that are not reported yet, as far as this entry knows.
     pub unreported: Gauge,
-    /// The fence by which this entry may act for all, 0 where it may not.
+    /// The fencing token with which this entry may act for all entries, 0 if it may not.
     pub fence: Gauge,
-    /// The bill records that are not known to be in the platform's store.
+    /// The number of bill records that are not confirmed as stored by the platform.
     pub unbilled: Gauge,
-    /// The bytes sent over links.
+    /// The number of bytes sent over links.
     pub link_sent: Gauge,
-    /// The bytes sent over links for control.
+    /// The number of bytes of control traffic sent over links.
     pub link_control: Gauge,
-    /// The bytes received over links.
+    /// The number of bytes received over links.
     pub link_received: Gauge,
 }
 
@@ -104,8 +105,8 @@
     fn default() -> Self {
         let mut registry = Registry::with_prefix("sorreldeck");
         let requests = Family::default();
-        let first = Family::new_with_constructor(seconds as fn() -> Histogram);
-        let whole = Family::new_with_constructor(seconds as fn() -> Histogram);
+        let first_byte = Family::new_with_constructor(duration_histogram as fn() -> Histogram);
+        let duration = Family::new_with_constructor(duration_histogram as fn() -> Histogram);
         let checked = Family::default();
         let violated = Family::default();
         let gauges = Gauges::default();
@@ -113,12 +114,12 @@
         registry.register(
             "first_token_seconds",
             "Time to the first part of the answer",
-            first.clone(),
+            first_byte.clone(),
         );
         registry.register(
             "answer_seconds",
             "Time to the end of the answer",
-            whole.clone(),
+            duration.clone(),
         );
         registry.register("promise_checked", "Checks of each promise", checked.clone());
         registry.register("promise_violated", "Checks that failed", violated.clone());
@@ -133,23 +134,23 @@
             "Time since the platform's store answered for a table, -1 if it never did",
             silences.clone(),
         );
-        let ignored = Counter::default();
+        let ignored_pages = Counter::default();
         registry.register(
             "pages_ignored",
             "Answers of the platform's store that changed nothing, since a later version is known",
-            ignored.clone(),
+            ignored_pages.clone(),
         );
         gauges.register(&mut registry);
         Metrics {
             registry,
             requests,
-            first,
-            whole,
+            first_byte,
+            duration,
             checked,
             violated,
             versions,
             silences,
-            ignored,
+            ignored_pages,
             gauges,
         }
     }
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Reads off the bytes that went over links.
+    /// Sets the gauges of link traffic.
     pub fn set_traffic(&self, traffic: &Traffic) {
         self.link_sent
             .set(traffic.sent.load(Ordering::Relaxed) as i64);
@@ -252,75 +253,78 @@
 }
 
 impl Metrics {
-    /// Returns the values that are read off.
+    /// Returns the gauges.
     pub fn gauges(&self) -> &Gauges {
         &self.gauges
     }
 
-    /// Counts a request that has ended.
-    pub fn record_request(&self, done: &Summary) {
-        let account = done
+    /// Records the outcome and durations of an ended request.
+    pub fn record_request(&self, summary: &Summary) {
+        let account = summary
             .account
             .as_ref()
             .map_or("none", |a| a.as_str())
             .to_owned();
-        let class = match done.plain {
+        let class = match summary.plain {
             true => "plain",
-            false => done.class.as_str(),
+            false => summary.class.as_str(),
         };
         let class = class.to_owned();
-        let who = Who {
+        let labels = RequestLabels {
             account: account.clone(),
             class: class.clone(),
         };
-        if let Some(first) = done.first_byte {
-            self.first.get_or_create(&who).observe(first.secs_f64());
+        if let Some(first_byte) = summary.first_byte {
+            self.first_byte
+                .get_or_create(&labels)
+                .observe(first_byte.secs_f64());
         }
-        if done.failure.is_none() {
-            self.whole
-                .get_or_create(&who)
-                .observe(done.duration.secs_f64());
+        if summary.failure.is_none() {
+            self.duration
+                .get_or_create(&labels)
+                .observe(summary.duration.secs_f64());
         }
-        let outcome = done.failure.map_or("answered", |reason| reason.code());
-        let outcome = Outcome {
+        let outcome = summary.failure.map_or("answered", |reason| reason.code());
+        let labels = OutcomeLabels {
             account,
             class,
             outcome: outcome.to_owned(),
         };
-        self.requests.get_or_create(&outcome).inc();
+        self.requests.get_or_create(&labels).inc();
     }
 
-    /// Reads off the promises.
-    pub fn set_invariants(&self, promises: &Invariants) {
-        for promise in Invariant::ALL {
-            let label = OfPromise {
-                promise: promise.to_string(),
+    /// Sets the gauges of invariants.
+    pub fn set_invariants(&self, invariants: &Invariants) {
+        for invariant in Invariant::ALL {
+            let labels = InvariantLabels {
+                promise: invariant.to_string(),
             };
             self.checked
-                .get_or_create(&label)
-                .set(promises.checked(promise) as i64);
+                .get_or_create(&labels)
+                .set(invariants.checked(invariant) as i64);
             self.violated
-                .get_or_create(&label)
-                .set(promises.violated(promise) as i64);
+                .get_or_create(&labels)
+                .set(invariants.violated(invariant) as i64);
         }
     }
 
-    /// Sets up to which version a table is known, and for how many milliseconds the
-    /// platform's store has not answered for it.
+    /// Sets the version up to which a table is known, and the time in milliseconds since the
+    /// platform's store last answered for it, -1 if it never did.
     pub fn set_table(&self, table: &str, version: i64, silence: i64) {
-        let label = OfTable {
+        let labels = TableLabels {
             table: table.to_owned(),
         };
-        self.versions.get_or_create(&label).set(version);
-        self.silences.get_or_create(&label).set(silence);
+        self.versions.get_or_create(&labels).set(version);
+        self.silences.get_or_create(&labels).set(silence);
     }
 
-    /// Counts an answer of the platform's store that changed nothing.
+    /// Counts an answer of the platform's store that was ignored because a later version is
+    /// known.
     pub fn count_ignored_page(&self) {
-        self.ignored.inc();
+        self.ignored_pages.inc();
     }
 
-    /// Writes all metrics.
+    /// Encodes all metrics.
     pub fn encode(&self) -> String {
         let mut buf = String::new();
         // Writing to a string cannot fail.
--- a/crates/daemon/src/program.rs
+++ b/crates/daemon/src/program.rs
@@ -1,4 +1,4 @@
-//! The program around the roles: arguments, logs and the one thread.
+//! Runs the role that the arguments select: sets up logging and the executor.
 
 use crate::options::{LogFormat, Options};
 use crate::{entry, hosted, sidecar, standalone};
@@ -8,19 +8,19 @@
 use logforth::layout::{JsonLayout, TextLayout};
 use logforth::record::{Level, LevelFilter};
 
-/// Runs the role that the options name until it is told to stop.
+/// Runs the selected role until a signal stops it.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be listened on.
+/// Fails if the role cannot start, for example because an address cannot be bound.
 pub fn run(options: Options) -> Result<()> {
-    // One thread runs all tasks; the loop that decides is one of them.
+    // All tasks, including the event loop, run on one thread.
     std::env::set_var("ASYNC_STD_THREAD_COUNT", "1");
     match options {
         Options::Hosted(_) => hosted::start_log(),
         _ => start_log(options.log_format()),
     }
-    on_one_thread(async {
+    block_on_executor(async {
         match options {
             Options::Entry(settings) => entry::run(settings).await,
             Options::Sidecar(settings) => sidecar::run(settings).await,
@@ -30,14 +30,14 @@
     })
 }
 
-/// Runs a future on the executor's one thread. That thread waits for sockets by
-/// itself; if this one waited for them too, each event would wake both.
-fn on_one_thread(
+/// Runs a future on the executor's only thread. That thread polls the sockets itself; if
+/// the calling thread polled them too, each event would wake up both.
+fn block_on_executor(
     work: impl std::future::Future<Output = Result<()>> + Send + 'static,
 ) -> Result<()> {
     let (send, ended) = std::sync::mpsc::channel();
     task::spawn(async move {
-        // The receiver waits below.
+        // Cannot fail, since the receiver waits below.
         let _ = send.send(work.await);
     });
     ended.recv()?
--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -1,5 +1,5 @@
 //! An entry, sidecars, sample upstreams and an in-memory platform in one
-//! process, so that a newcomer sees an answer after one command.
+//! process, so that new users can try sorreldeck with a single command.
 
 use crate::options::{self, LogFormat};
 use crate::{entry, event_loop, propagation, sidecar};
@@ -15,22 +15,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The settings tree that the standalone role starts with.
+/// The initial settings tree of the standalone role.
 pub const TREE: &str = include_str!("../samples/standalone.toml");
 /// The API key of the sample client account.
 pub const KEY: &str = "demo-key";
 /// The token of the sample operator.
 pub const TOKEN: &str = "demo-operator";
-/// The key that the links within this one process use.
+/// The key of the links and session tokens of this process.
 const LINK_KEYS: &str = "1:5f0c5a1e2b3d4c6f7a8b9c0d1e2f30415263748596a7b8c9dadbecfd0e1f2a3b";
 const ENGINES: usize = 2;
 const PLAINS: usize = 2;
 
-/// Runs everything in one process until it is told to stop.
+/// Runs everything in one process until SIGTERM or SIGINT stops it.
 ///
 /// # Errors
 ///
-/// Fails when the address cannot be listened on.
+/// Fails if the address cannot be bound or the signal handlers cannot be installed.
 pub async fn run(settings: options::Standalone) -> Result<()> {
     let stop = event_loop::stop_flag()?;
     let running = start(settings.listen, TREE, stop).await?.entry;
@@ -43,11 +43,11 @@
     Ok(())
 }
 
-/// Everything that runs in this process.
+/// The components that run in this process.
 pub struct Sample {
     /// The entry.
     pub entry: entry::Running,
-    /// The sidecars, those of engines first.
+    /// The sidecars; those of engines come first.
     pub sidecars: Vec<sidecar::Running>,
     /// The model engines.
     pub engines: Vec<Engine>,
@@ -55,21 +55,21 @@
     pub plains: Vec<Plain>,
     /// The platform.
     pub memory: Arc<Memory>,
-    /// How good the versions are.
+    /// The emulated quality of the versions.
     pub quality: Quality,
 }
 
-/// Starts everything in this process, with a tree in force.
+/// Starts all components in this process and waits until the settings tree is in force.
 ///
 /// # Errors
 ///
-/// Fails when the address cannot be listened on or the tree is not valid.
+/// Fails if the address cannot be bound or the tree is not valid.
 pub async fn start(listen: SocketAddr, tree: &str, stop: Arc<AtomicBool>) -> Result<Sample> {
     let memory: Arc<Memory> = Arc::default();
     let platform = Platform::of_memory(memory.clone());
     let quality = Quality::default();
     server::rate_by(&memory, quality.clone());
-    plant(&platform, tree).await?;
+    submit_tree(&platform, tree).await?;
     let mut instances = Vec::new();
     let (mut sidecars, mut engines, mut plains) = (Vec::new(), Vec::new(), Vec::new());
     for i in 1..=ENGINES {
@@ -102,7 +102,7 @@
         leaving: false,
     });
     memory.set_instances(instances);
-    // Until then no key and no token is known to the entry.
+    // Before the tree is in force, the entry knows no API key and no operator's token.
     while running.shared.tree().revision() == Revision(0) {
         task::sleep(Duration::from_millis(5)).await;
     }
@@ -116,36 +116,38 @@
     })
 }
 
-/// Has a first tree accepted.
-async fn plant(platform: &Platform, text: &str) -> Result<()> {
+/// Submits the initial settings tree.
+async fn submit_tree(platform: &Platform, text: &str) -> Result<()> {
     let entries = tree::parse_toml(text)?;
     let put = |(key, value)| Edit {
         key,
         old: None,
         new: Some(value),
     };
-    let wish = propagation::Proposal {
+    let proposal = propagation::Proposal {
         author: "standalone".into(),
         ticket: 1,
         edits: entries.into_iter().map(put).collect(),
         lease: None,
     };
-    match propagation::submit(platform, &Tree::default(), wish).await? {
+    match propagation::submit(platform, &Tree::default(), proposal).await? {
         propagation::Outcome::Accepted(_) => Ok(()),
-        other => Err(eyre!("the sample tree was not accepted: {other:?}")),
+        other => Err(eyre!(
+            "the initial settings tree was not accepted: {other:?}"
+        )),
     }
 }
 
 fn sidecar_settings(name: &str, pool: &str, upstream: SocketAddr) -> Result<options::Sidecar> {
-    let free: SocketAddr = "127.0.0.1:0".parse()?;
+    let any_port: SocketAddr = "127.0.0.1:0".parse()?;
     Ok(options::Sidecar {
         name: name.parse()?,
         pool: pool.parse()?,
         hall: "hall-a".parse()?,
         upstream,
-        listen: free,
-        health: free,
-        platform: free,
+        listen: any_port,
+        health: any_port,
+        platform: any_port,
         link_keys: LINK_KEYS.parse()?,
         slots: Speed::default().slots as u32,
         reserve: 1,
@@ -162,7 +164,7 @@
 ) -> Result<(Instance, sidecar::Running)> {
     let name = settings.name.as_str().parse()?;
     let hall = settings.hall.clone();
-    // Each has a stop of its own; what lasts here ends with the process.
+    // Sidecars are not stopped by the signals; they run until the process ends.
     let running = sidecar::start(settings, platform.clone(), Arc::default()).await?;
     let instance = Instance {
         name,
