--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -153,7 +153,7 @@
             (false, section) if section != Section::Nodes => true,
             _ => self.sees(tree, &edit.key),
         };
-        match before && after {
+        match after && before {
             true => Ok(()),
             false => Err(self.outside(&edit.key)),
         }
@@ -524,7 +524,7 @@
                 "pool": pool,
                 "hall": peer.placement.hall,
                 "gets_work": event_loop.entry.peers().gets_work(link),
-                "work": event_loop.entry.peers().availability(link, now).map(|availability| availability.to_string()),
+                "work": event_loop.entry.peers().availability(link, now).map(|a| a.to_string()),
                 "running": peer.load.running,
                 "slots": peer.load.slots,
                 "queued": peer.load.queued,
