--- a/crates/daemon/src/hosted/event_loop.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -12,9 +12,9 @@
 use super::restorer::Restorer;
 use super::shared::{self, Shared};
 use crate::clock::{self, Clock};
+use crate::event_loop::{self, Flow};
 use crate::metrics::Metrics;
 use crate::options;
-use crate::turn::{self, Next};
 use async_channel::{Receiver, Sender};
 use async_std::task;
 use log::{info, warn};
@@ -266,11 +266,11 @@
             }
             event_loop.tick(stopping.is_some());
             match stopping.is_some_and(|since| event_loop.is_done(since)) {
-                true => Next::End,
-                false => Next::Go,
+                true => Flow::End,
+                false => Flow::Continue,
             }
         };
-        turn::run(&mut self, receive, EventLoop::handle_message, tick).await;
+        event_loop::run(&mut self, receive, EventLoop::handle_message, tick).await;
         info!("event=ended in_flight={}", self.entry.in_flight());
         // Leaves time for the last responses to be sent.
         task::sleep(Duration::from_millis(60)).await;
@@ -686,7 +686,7 @@
     /// Logs the pages that were ignored.
     fn log_ignored(&mut self) {
         for ignored in self.mirror.take_ignored() {
-            self.metrics.ignored();
+            self.metrics.count_ignored_page();
             warn!(
                 "event=page-ignored table={:?} version={} known={} era={}",
                 ignored.table,
@@ -919,7 +919,7 @@
             }
             Output::RecordQuarantine(change) => self.record_quarantine(change),
             Output::RequestEnded(done) => {
-                self.metrics.ended(&done);
+                self.metrics.record_request(&done);
                 self.log_request(&done);
             }
             // The other outputs do not occur where upstreams are called directly.
@@ -987,7 +987,7 @@
 
     /// Returns the metrics of this process as text.
     pub fn metrics_text(&mut self) -> String {
-        self.metrics.set_promises(self.entry.invariants());
+        self.metrics.set_invariants(self.entry.invariants());
         let now = self.clock.now();
         for table in Table::ALL {
             let silence = self.answers.silence_ms(table, now);
@@ -998,11 +998,11 @@
         let gauges = self.metrics.gauges();
         gauges.revision.set(self.entry.tree().revision().0 as i64);
         gauges.in_flight.set(self.entry.in_flight() as i64);
-        gauges.held_back.set(self.entry.quarantined(now) as i64);
+        gauges.quarantined.set(self.entry.quarantined(now) as i64);
         let peers = self.entry.peers();
         gauges.cold.set(peers.cold(now) as i64);
         gauges.leaving.set(peers.leaving() as i64);
-        gauges.resting.set(peers.resting(now) as i64);
+        gauges.paused.set(peers.resting(now) as i64);
         gauges.limited.set(peers.limited() as i64);
         let evacuated = peers.hall_states().evacuated();
         gauges.evacuated.set(evacuated.len() as i64);
@@ -1017,8 +1017,10 @@
         gauges.links.set(self.upstreams.len() as i64);
         let age = self.relay.follow().age(now);
         gauges.era.set(self.mirror.era().0 as i64);
-        gauges.age.set(age.map_or(-1, |age| age.millis() as i64));
-        self.metrics.text()
+        gauges
+            .tables_age
+            .set(age.map_or(-1, |age| age.millis() as i64));
+        self.metrics.encode()
     }
 }
 
--- a/crates/daemon/tests/regression/second_change_was_not_asked_for.rs
+++ b/crates/daemon/tests/regression/second_change_was_not_asked_for.rs
@@ -3,15 +3,15 @@
 //! until the next heartbeat, a second later.
 
 use sorreldeck::Revision;
-use sorreldeckd::spread::Asker;
+use sorreldeckd::propagation::Throttle;
 
 #[test]
 fn a_process_that_has_come_forward_may_ask_at_once() {
-    let mut asker = Asker::default();
+    let mut throttle = Throttle::default();
     for revision in 1..100 {
-        assert!(asker.may_ask(Revision(revision)));
+        assert!(throttle.admits(Revision(revision)));
         assert!(
-            !asker.may_ask(Revision(revision)),
+            !throttle.admits(Revision(revision)),
             "an answer is on its way"
         );
     }
