--- a/crates/bench/src/restore.rs
+++ b/crates/bench/src/restore.rs
@@ -210,7 +210,7 @@
         let due = self.changes.iter().rev().find(|change| is_due(&change.at));
         let due = due.map_or(0, |change| change.number);
         for (number, node) in self.world.nodes.iter().enumerate() {
-            let holds = node.in_force();
+            let holds = node.config_number();
             let known = &mut self.known[number];
             self.tally.requests += u64::from(is_held);
             self.tally.went_back += u64::from(holds < *known);
@@ -224,7 +224,7 @@
             if is_held {
                 self.tally.older += u64::from(holds < due);
                 let left = self.left.iter().filter(|(_, at)| is_due(at));
-                let used = left.filter(|(id, _)| node.uses.iter().any(|u| u.as_str() == *id));
+                let used = left.filter(|(id, _)| node.routable.iter().any(|u| u.as_str() == *id));
                 self.tally.to_left += u64::from(used.count() > 0);
             }
         }
--- a/crates/bench/src/scale.rs
+++ b/crates/bench/src/scale.rs
@@ -181,7 +181,7 @@
         world,
         seconds: MEASURED.secs_f64(),
     };
-    day.world.pass(steps(BEFORE));
+    day.world.run(steps(BEFORE));
     let mut figures = Figures {
         entries,
         upstreams: day.world.upstreams,
@@ -190,15 +190,15 @@
         ..Figures::default()
     };
     let calls = day.world.store.calls;
-    let sent = day.sent(|day| day.world.pass(steps(MEASURED)));
+    let sent = day.sent(|day| day.world.run(steps(MEASURED)));
     (figures.rest_middle, figures.rest_most) = sent;
     figures.calls_rest = (day.world.store.calls - calls) as f64 / day.seconds;
-    let (calls, crossed) = (day.world.store.calls, day.world.crossed);
+    let (calls, crossed) = (day.world.store.calls, day.world.cross_hall_bytes);
     let mut change_s = 0.0;
     let sent = day.sent(|day| change_s = day.change());
     (figures.change_middle, figures.change_most) = sent;
     figures.calls_change = (day.world.store.calls - calls) as f64 / day.seconds;
-    figures.crossed = (day.world.crossed - crossed) as f64 / day.seconds;
+    figures.crossed = (day.world.cross_hall_bytes - crossed) as f64 / day.seconds;
     figures.change_s = change_s;
     let hall = day.world.nodes[0].peer.hall.clone();
     let of_hall = day.world.nodes.iter().enumerate();
@@ -232,11 +232,11 @@
 
     /// Returns the bytes a second that the middle and the busiest entry sent while something went on.
     fn sent(&mut self, work: impl FnOnce(&mut Day)) -> (f64, f64) {
-        let before = self.world.sent.clone();
+        let before = self.world.sent_bytes.clone();
         let began = self.world.now;
         work(self);
         let seconds = self.world.now.since(began).secs_f64();
-        let sent = self.world.sent.iter().zip(&before);
+        let sent = self.world.sent_bytes.iter().zip(&before);
         let mut sent: Vec<u64> = sent.map(|(now, before)| now - before).collect();
         sent.sort_unstable();
         let rate = |bytes: u64| bytes as f64 / seconds;
@@ -261,7 +261,7 @@
                 .world
                 .nodes
                 .iter()
-                .map(Node::in_force)
+                .map(Node::config_number)
                 .min()
                 .unwrap_or(0);
             for (_, at) in changes.iter().filter(|(number, _)| *number <= least) {
--- a/crates/daemon/src/hosted/client.rs
+++ b/crates/daemon/src/hosted/client.rs
@@ -206,7 +206,7 @@
     async fn read_head(&self, response: Response<Incoming>) -> Result<Answer, Failure> {
         let status = response.status().as_u16();
         let headers = h1::headers_of(response.headers());
-        let told = call::told(status, &headers);
+        let told = call::parse_response(status, &headers);
         let order = self.order.as_ref();
         let label = order.map(|o| o.label.as_str());
         let is_foreign = told.label.is_some() && told.label.as_deref() != label;
@@ -230,7 +230,7 @@
             return Err(unsure("a success without its receipt"));
         }
         let stream = order.is_some_and(|o| o.stream);
-        let mut headers = call::passed_back(headers);
+        let mut headers = call::filter_response_headers(headers);
         if stream {
             headers.retain(|h| h.name != "content-length");
         }
@@ -283,7 +283,7 @@
         };
         let rest = pending.split_off(end + 2);
         let data = std::mem::replace(pending, rest);
-        let last = call::last_event(&data);
+        let last = call::last_event_id(&data);
         self.say(Reply::Data {
             data,
             last_event: last,
--- a/crates/daemon/src/hosted/duties.rs
+++ b/crates/daemon/src/hosted/duties.rs
@@ -193,10 +193,10 @@
         instance: settings.instance.clone(),
         incarnation,
         hall: settings.hall.clone(),
-        window_length: asked.window,
-        report_deadline: asked.late,
+        window_length: asked.report_window,
+        report_deadline: asked.report_deadline,
         lease: asked.lease,
-        min_report_interval: asked.gap,
+        min_report_interval: asked.min_interval,
         is_first_start: settings.first_start,
     }
 }
--- a/crates/daemon/src/hosted/event_loop.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -32,7 +32,7 @@
 };
 use sorreldeck_net::h1::Door;
 use sorreldeck_net::link::{Event, Outbox};
-use sorreldeck_platform::member::Listed;
+use sorreldeck_platform::member::Registration;
 use sorreldeck_platform::{Settings, Store, Table};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -191,17 +191,17 @@
         let own = Peer {
             name: settings.instance.clone(),
             hall: settings.hall.clone(),
-            address: links.address.unwrap_or(settings.ready),
+            address: links.address.unwrap_or(settings.readiness_address),
             cores: settings.cores,
-            mbps: settings.mbps,
+            mbps: settings.link_mbps,
         };
-        let bounds = Timeouts::of(settings.in_force);
+        let bounds = Timeouts::of(settings.config_deadline);
         let send = shared.send.clone();
         let duties = Duties::new(settings, shared.incarnation, store.clone(), send);
         decisions.reports_starts = duties.is_some();
         let mut relay = Relay::new(own.clone(), bounds);
         if let Some(asked) = settings.duties.filter(|_| duties.is_some()) {
-            relay.enable_usage(Tally::new(shared.incarnation, asked.window));
+            relay.enable_usage(Tally::new(shared.incarnation, asked.report_window));
         }
         let starts = settings.first_start.then_some(ALL_ANNOUNCED);
         EventLoop {
@@ -757,7 +757,7 @@
         self.handle(Input::Tree(Arc::new(config.tree)));
     }
 
-    fn join(&mut self, mut listed: Listed, from: &str) {
+    fn join(&mut self, mut listed: Registration, from: &str) {
         // Where rows do not tell starts apart the address does: what one start said of itself
         // must not be taken for another's.
         let start = &mut listed.member.placement.incarnation;
--- a/crates/daemon/src/hosted/followers.rs
+++ b/crates/daemon/src/hosted/followers.rs
@@ -364,7 +364,7 @@
             self.store.reconnect().await;
             let call = self.call(Duration::ZERO);
             let answer = async_std::future::timeout(ASK_EVERY, call).await;
-            if let Ok(answer @ (Ok(_) | Err(Trouble::Forgotten))) = answer {
+            if let Ok(answer @ (Ok(_) | Err(Trouble::HistoryLost))) = answer {
                 return answer;
             }
             task::sleep(ASK_PAUSE).await;
@@ -381,7 +381,7 @@
         let page = self.store.follow(self.table, base.version, wait).await?;
         // Versions of another era say nothing about what came after this one.
         if page.era.is_some_and(|era| era != base.era) {
-            return Err(Trouble::Forgotten);
+            return Err(Trouble::HistoryLost);
         }
         let whole = false;
         Ok(Read { page, whole, asked })
@@ -410,7 +410,7 @@
                 }
                 Outcome::Page(read)
             }
-            Err(Trouble::Forgotten) => {
+            Err(Trouble::HistoryLost) => {
                 let known = self.base().unwrap_or_default();
                 self.version = None;
                 let pause = pause_after(self.forgotten);
--- a/crates/daemon/src/hosted/frontend.rs
+++ b/crates/daemon/src/hosted/frontend.rs
@@ -137,7 +137,7 @@
     let limits = shared.limits();
     let (head, mut body) = request.into_parts();
     let headers = h1::headers_of(&head.headers);
-    let asked = call::asked(&headers);
+    let asked = call::parse_request(&headers);
     let host = host_of(&head, &headers);
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
     let most = limits.body.bytes() as usize;
@@ -171,19 +171,19 @@
         call: Call {
             method: head.method.as_str().to_owned(),
             path: path.to_owned(),
-            headers: call::passed_on(headers, asked.key.is_some()),
+            headers: call::filter_request_headers(headers, asked.api_key.is_some()),
             body: buf.to_vec(),
         },
-        time_left: asked.left,
+        time_left: asked.time_left,
         any_model: asked.any_model,
         tokens: asked.tokens,
-        prefixes: asked.chain,
+        prefixes: asked.prefixes,
         session: asked.session,
-        is_resumption: asked.resumes,
+        is_resumption: asked.is_resumption,
     };
     Ok(EntryRequest {
         request: shared.next_request(),
-        key: asked.key,
+        key: asked.api_key,
         route: None,
         class: None,
         session: None,
@@ -234,7 +234,7 @@
     let status = StatusCode::from_u16(status_of(failure));
     *response.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     if let (Verdict::NotRun, Some(after)) = (failure.verdict, failure.retry_after) {
-        put(&mut response, &call::come_back(after));
+        put(&mut response, &call::retry_after(after));
     }
     response
 }
--- a/crates/daemon/src/hosted/mirror/mod.rs
+++ b/crates/daemon/src/hosted/mirror/mod.rs
@@ -22,8 +22,8 @@
 use sorreldeck::wire::{Cursor, TableDelta};
 use sorreldeck::{Hall, Incarnation, Span, Time, UpstreamId};
 use sorreldeck_platform::config::{self, Configuration};
-use sorreldeck_platform::member::Listed;
-use sorreldeck_platform::store::{Page, Row, CONFIG, MOVE};
+use sorreldeck_platform::member::Registration;
+use sorreldeck_platform::store::{Page, Row, CONFIG_KEY, ROLLOUT_PREFIX};
 use sorreldeck_platform::{hall, Table};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -39,7 +39,7 @@
     /// A newer configuration.
     Config(Box<Configuration>),
     /// An upstream can be called.
-    Joined(Box<Listed>),
+    Joined(Box<Registration>),
     /// An upstream takes no new work.
     Retired(UpstreamId),
     /// An upstream is cold for so long yet.
@@ -520,17 +520,17 @@
     fn operator_news(&mut self, table: Table, changed: &[String]) -> Vec<Update> {
         let mut news = Vec::new();
         for key in changed {
-            if table == Table::Operator && key == CONFIG {
+            if table == Table::Operator && key == CONFIG_KEY {
                 let row = self.row(table, key).and_then(|row| row.value.clone());
                 let read = row.map(|buf| config::decode(&buf));
                 let config = read.and_then(|read| self.understand(table, key, read));
                 news.extend(config.map(|c| Update::Config(Box::new(c))));
             }
-            if key.starts_with(MOVE) {
+            if key.starts_with(ROLLOUT_PREFIX) {
                 news.extend(self.move_news(key));
             }
         }
-        let orders = |key: &String| table == Table::Operator && hall::of_key(key).is_some();
+        let orders = |key: &String| table == Table::Operator && hall::parse_key(key).is_some();
         if changed.iter().any(orders) {
             news.push(Update::Evacuated(self.evacuated()));
         }
@@ -540,7 +540,7 @@
     /// Returns the data halls that are to be empty.
     fn evacuated(&mut self) -> BTreeSet<Hall> {
         let keys = self.rows(Table::Operator).map(|row| row.key.clone());
-        let orders = keys.filter_map(|key| hall::of_key(&key).map(|hall| (key, hall)));
+        let orders = keys.filter_map(|key| hall::parse_key(&key).map(|hall| (key, hall)));
         let orders: Vec<_> = orders.collect();
         let halls = orders
             .into_iter()
@@ -551,7 +551,7 @@
     fn own_news(&mut self, changed: &[String]) -> Vec<Update> {
         let mut news = Vec::new();
         for key in changed {
-            if key.starts_with(MOVE) {
+            if key.starts_with(ROLLOUT_PREFIX) {
                 news.extend(self.move_news(key));
             }
             news.extend(self.entry_news(key));
--- a/crates/daemon/src/hosted/mirror/upstreams.rs
+++ b/crates/daemon/src/hosted/mirror/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::{Mirror, Suspects, Update};
 use sorreldeck::{Incarnation, Span, Time};
-use sorreldeck_platform::member::{self, Listed};
+use sorreldeck_platform::member::{self, Registration};
 use sorreldeck_platform::Table;
 use std::net::SocketAddr;
 
@@ -90,7 +90,7 @@
     /// Takes in the row of an upstream. A newer start under the same name is another upstream: it
     /// knows nothing of before, and runs and connections begun before are the former one's.
     /// An older one that is heard of late changes nothing.
-    pub(super) fn list(&mut self, id: &str, listed: Listed) -> Vec<Update> {
+    pub(super) fn list(&mut self, id: &str, listed: Registration) -> Vec<Update> {
         let latest = self.born.get(id).copied();
         let born = listed.member.placement.incarnation.or(latest);
         if born < latest {
@@ -106,8 +106,8 @@
         if listed.leaving {
             return self.retire(id).into_iter().collect();
         }
-        let cold = Update::Cold(listed.member.upstream.clone(), listed.cold);
-        let cold = (listed.cold > Span::default()).then_some(cold);
+        let cold = Update::Cold(listed.member.upstream.clone(), listed.cold_left);
+        let cold = (listed.cold_left > Span::default()).then_some(cold);
         if known == Some(start) {
             return cold.into_iter().collect();
         }
--- a/crates/daemon/src/hosted/mod.rs
+++ b/crates/daemon/src/hosted/mod.rs
@@ -117,8 +117,8 @@
     clock: Clock,
     stop: Arc<AtomicBool>,
 ) -> Result<Running> {
-    let callers = TcpListener::bind(settings.callers).await?;
-    let ready = TcpListener::bind(settings.ready).await?;
+    let callers = TcpListener::bind(settings.front_address).await?;
+    let ready = TcpListener::bind(settings.readiness_address).await?;
     let (callers_at, ready_at) = (callers.local_addr()?, ready.local_addr()?);
     let incarnation = Incarnation(u64::from_le_bytes(clock::random()));
     info!(
@@ -129,7 +129,7 @@
     let (end, ended) = async_channel::bounded::<()>(1);
     let shared = Shared::new(send, incarnation, &settings);
     let door = Arc::new(Door::default());
-    let store = Store::new(settings.store);
+    let store = Store::new(settings.store_address);
     task::spawn(frontend::listen(callers, shared.clone(), door.clone()));
     task::spawn(http::serve(ready, web::health(shared.clone())));
     if let Some(port) = options.metrics {
@@ -139,7 +139,7 @@
     let (events, happened) = async_channel::unbounded();
     task::spawn(peer::pass_on(happened, shared.clone()));
     let mut links_at = None;
-    if let Some(links) = settings.links {
+    if let Some(links) = settings.link_address {
         let links = TcpListener::bind(links).await?;
         links_at = Some(links.local_addr()?);
         let keys = options.link_keys.clone();
--- a/crates/daemon/src/hosted/mover.rs
+++ b/crates/daemon/src/hosted/mover.rs
@@ -11,7 +11,7 @@
 use log::{info, warn};
 use sorreldeck::release::{Order, State, Totals};
 use sorreldeck::{InstanceId, Span, Time};
-use sorreldeck_platform::store::{Change, Row, MOVE};
+use sorreldeck_platform::store::{Change, Row, ROLLOUT_PREFIX};
 use sorreldeck_platform::{release, Store, Table};
 use std::collections::HashMap;
 
@@ -160,7 +160,10 @@
 fn key_of(order: &Order, mirror: &Mirror) -> Option<String> {
     let mut rows = mirror.rows(Table::Operator);
     let asks_for = |row: &&Row| {
-        let value = row.value.as_deref().filter(|_| row.key.starts_with(MOVE));
+        let value = row
+            .value
+            .as_deref()
+            .filter(|_| row.key.starts_with(ROLLOUT_PREFIX));
         let read = value.map(|buf| release::decode(buf, order.issued));
         read.is_some_and(|read| read.is_ok_and(|read| read == *order))
     };
--- a/crates/daemon/src/hosted/peer.rs
+++ b/crates/daemon/src/hosted/peer.rs
@@ -85,7 +85,7 @@
     pub fn new(keys: Keys, settings: &Settings, events: Sender<Event>) -> Peering {
         Peering {
             keys,
-            own: settings.links,
+            own: settings.link_address,
             known: BTreeMap::new(),
             seeds: settings.seeds.clone(),
             turn: usize::from(clock::random::<1>()[0]),
--- a/crates/daemon/src/hosted/reconcile.rs
+++ b/crates/daemon/src/hosted/reconcile.rs
@@ -3,7 +3,7 @@
 
 use super::replica::Conflict;
 use sorreldeck::era::{Kind, Local, Resolution};
-use sorreldeck_platform::store::{Row, CONFIG};
+use sorreldeck_platform::store::{Row, CONFIG_KEY};
 use sorreldeck_platform::{config, member, Table};
 
 /// Decides whether what was known of a row holds.
@@ -19,7 +19,7 @@
 
 fn kind(table: Table, key: &str) -> Kind {
     match table {
-        Table::Operator if key == CONFIG => Kind::Configuration,
+        Table::Operator if key == CONFIG_KEY => Kind::Configuration,
         Table::Operator => Kind::Order,
         Table::Upstreams => Kind::Upstream,
         Table::Progress | Table::Own | Table::Duties => Kind::Record,
--- a/crates/daemon/tests/counts.rs
+++ b/crates/daemon/tests/counts.rs
@@ -19,7 +19,7 @@
         let own = Incarnation(number as u64);
         node.relay.enable_usage(Tally::new(own, LENGTH));
     }
-    world.pass(steps(10_000));
+    world.run(steps(10_000));
     world
 }
 
@@ -54,7 +54,7 @@
 fn the_first_two_of_a_data_hall_know_what_all_of_it_counted() {
     let mut world = counting(3, 30);
     let window = begin(&mut world, "h-1", 5);
-    world.pass(steps(600));
+    world.run(steps(600));
     let sums = sums(&mut world, "h-1", window);
     // The second has what the first counted from nobody.
     assert_eq!(sums[0], 50);
@@ -65,10 +65,10 @@
 fn what_was_counted_is_told_to_the_next_where_the_first_was_killed() {
     let mut world = counting(2, 16);
     let window = begin(&mut world, "h-0", 4);
-    world.pass(steps(100));
+    world.run(steps(100));
     let reads = |node: &sorreldeck_sim::Node| {
         node.peer.hall.as_str() == "h-0"
-            && node.reading == sorreldeck::replication::Subscription::All
+            && node.subscription == sorreldeck::replication::Subscription::All
     };
     let first = world
         .nodes
@@ -80,7 +80,7 @@
     world.nodes[first]
         .relay
         .enable_usage(Tally::new(Incarnation(99), LENGTH));
-    world.pass(steps(4_000));
+    world.run(steps(4_000));
     // All but what the first itself counted.
     assert_eq!(sums(&mut world, "h-0", window)[0], 28);
 }
@@ -90,11 +90,11 @@
     let told = |accounts: usize| {
         let mut world = counting(1, 8);
         begin(&mut world, "h-0", accounts);
-        world.pass(steps(600));
-        let before: u64 = world.sent.iter().sum();
+        world.run(steps(600));
+        let before: u64 = world.sent_bytes.iter().sum();
         begin(&mut world, "h-0", 1);
-        world.pass(steps(600));
-        world.sent.iter().sum::<u64>() - before
+        world.run(steps(600));
+        world.sent_bytes.iter().sum::<u64>() - before
     };
     let (few, many) = (told(20), told(80));
     assert!(many * 10 <= few * 11, "{few} {many}");
--- a/crates/daemon/tests/growth.rs
+++ b/crates/daemon/tests/growth.rs
@@ -14,7 +14,7 @@
 fn started(seed: u64, halls: usize, entries: usize) -> World {
     let mut world = World::new(seed, halls, entries);
     world.put_upstreams();
-    world.pass(secs(15));
+    world.run(secs(15));
     world
 }
 
@@ -31,13 +31,18 @@
 
 fn cost(entries: usize) -> Cost {
     let mut world = started(7, HALLS, entries);
-    let (crossed, calls) = (world.crossed, world.store.calls);
-    let before = world.sent.clone();
+    let (crossed, calls) = (world.cross_hall_bytes, world.store.calls);
+    let before = world.sent_bytes.clone();
     for _ in 0..10 {
         world.configure();
-        world.pass(secs(1));
+        world.run(secs(1));
     }
-    let mut sent: Vec<u64> = world.sent.iter().zip(&before).map(|(a, b)| a - b).collect();
+    let mut sent: Vec<u64> = world
+        .sent_bytes
+        .iter()
+        .zip(&before)
+        .map(|(a, b)| a - b)
+        .collect();
     sent.sort_unstable();
     let mut links = vec![0; entries];
     for (node, _) in world.links.keys() {
@@ -45,7 +50,7 @@
     }
     links.sort_unstable();
     Cost {
-        crossed: world.crossed - crossed,
+        crossed: world.cross_hall_bytes - crossed,
         calls: world.store.calls - calls,
         middle: sent[entries / 2],
         links: links[entries / 2],
@@ -83,12 +88,12 @@
         }
         match store {
             Store::Well => {}
-            Store::Forgets => world.forget(),
+            Store::Forgets => world.compact(),
             Store::TurnsAway => {
                 let until = world.now + Span::from_millis(4_000);
                 for node in 0..64 {
                     if node % 3 == 0 {
-                        world.nodes[node].alone_until = until;
+                        world.nodes[node].store_unreachable_until = until;
                     }
                 }
             }
@@ -97,18 +102,21 @@
                 world.restore(until);
             }
         }
-        world.pass(secs(2) + secs(1));
+        world.run(secs(2) + secs(1));
         // Entries that start and are turned away ask the seeds, which are not played here.
         let now = world.now;
         let lost = world
             .nodes
             .iter()
-            .filter(|n| now >= n.alone_until && !n.mirror.has_operator_table());
+            .filter(|n| now >= n.store_unreachable_until && !n.mirror.has_operator_table());
         assert_eq!(lost.count(), 0, "{store:?}, seed {seed}");
-        world.pass(secs(5));
+        world.run(secs(5));
         let number = world.configure();
-        world.pass((world.limit.micros() / TICK.micros()) as usize);
-        let late = world.nodes.iter().filter(|node| node.in_force() != number);
+        world.run((world.staleness_limit.micros() / TICK.micros()) as usize);
+        let late = world
+            .nodes
+            .iter()
+            .filter(|node| node.config_number() != number);
         assert_eq!(late.count(), 0, "{store:?}, seed {seed}");
     }
 }
--- a/crates/daemon/tests/mirror.rs
+++ b/crates/daemon/tests/mirror.rs
@@ -4,7 +4,7 @@
 use sorreldeck::Time;
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
-use sorreldeck_sim::rows::{self, gone};
+use sorreldeck_sim::rows::{self, deleted};
 use sorreldeckd::hosted::{Merge, Mirror, Update};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -60,7 +60,7 @@
 #[test]
 fn a_few_that_leave_together_are_left_at_once() {
     let mut mirror = mirror();
-    let rows = vec![gone("i-0", 11), gone("i-1", 12), gone("i-2", 13)];
+    let rows = vec![deleted("i-0", 11), deleted("i-1", 12), deleted("i-2", 13)];
     let news = mirror.apply(Table::Upstreams, page(rows, 13), false, at(100));
     assert_eq!(retired(&news), ["i-0", "i-1", "i-2"]);
 }
@@ -74,7 +74,7 @@
     let draining = (0..5).map(|i| row(&format!("i-{i}"), "draining", 11));
     let draining = page(draining.collect(), 11);
     mirror.apply(Table::Upstreams, draining, false, at(100));
-    let rows = (0..6).map(|i| gone(&format!("i-{i}"), 12)).collect();
+    let rows = (0..6).map(|i| deleted(&format!("i-{i}"), 12)).collect();
     let news = mirror.apply(Table::Upstreams, page(rows, 12), false, at(3_000));
     assert_eq!(retired(&news), ["i-5"]);
 }
@@ -92,11 +92,11 @@
 #[test]
 fn leases_that_lapse_while_the_store_is_down_may_come_back() {
     let mut mirror = mirror();
-    let rows = (0..7).map(|i| gone(&format!("i-{i}"), 11 + i)).collect();
+    let rows = (0..7).map(|i| deleted(&format!("i-{i}"), 11 + i)).collect();
     let news = mirror.apply(Table::Upstreams, page(rows, 17), false, at(5_400));
     assert!(news.is_empty(), "{news:?}");
     assert_eq!(mirror.take_suspects()[0].keys.len(), 7);
-    let last = vec![gone("i-7", 18)];
+    let last = vec![deleted("i-7", 18)];
     let news = mirror.apply(Table::Upstreams, page(last, 18), false, at(5_900));
     assert!(news.is_empty(), "the last of them a page later: {news:?}");
     let back = (0..6).map(|i| row(&format!("i-{i}"), "ready", 20 + i));
@@ -128,7 +128,7 @@
     for _ in 0..times {
         mirror.mark_failing(table);
     }
-    let rows = (0..leaving).map(|i| gone(&format!("i-{i}"), 11 + i));
+    let rows = (0..leaving).map(|i| deleted(&format!("i-{i}"), 11 + i));
     let rows = page(rows.collect(), 10 + leaving);
     let news = mirror.apply(Table::Upstreams, rows, false, at(5_500));
     assert_eq!(retired(&news).len() as u64, leaving);
@@ -138,7 +138,7 @@
 #[test]
 fn when_all_vanish_at_once_their_leases_have_lapsed() {
     let mut mirror = mirror();
-    let rows = (0..8).map(|i| gone(&format!("i-{i}"), 11 + i)).collect();
+    let rows = (0..8).map(|i| deleted(&format!("i-{i}"), 11 + i)).collect();
     let news = mirror.apply(Table::Upstreams, page(rows, 18), false, at(100));
     assert!(news.is_empty(), "{news:?}");
     assert_eq!(retired(&mirror.tick(at(2_000), None)).len(), 8);
@@ -167,7 +167,7 @@
 #[test]
 fn an_upstream_that_starts_anew_is_another_one() {
     let mut mirror = mirror();
-    let rows = vec![gone("i-0", 11), row("i-9", "ready", 12)];
+    let rows = vec![deleted("i-0", 11), row("i-9", "ready", 12)];
     let news = mirror.apply(Table::Upstreams, page(rows, 12), false, at(100));
     assert_eq!(retired(&news), ["i-0"]);
     assert!(news.iter().any(|n| matches!(n, Update::Joined(_))));
@@ -225,7 +225,7 @@
 
 /// A mirror that has its tables from `mirror`, whose upstreams changed since version 10.
 fn handed(teller: &mut Mirror, have: u64) -> sorreldeck::wire::TableDelta {
-    let rows = vec![row("i-0", "draining", 11), gone("i-1", 12)];
+    let rows = vec![row("i-0", "draining", 11), deleted("i-1", 12)];
     teller.apply(Table::Upstreams, page(rows, 13), false, at(100));
     teller.delta(Table::Upstreams, have.into()).unwrap()
 }
@@ -275,7 +275,11 @@
 fn what_is_older_changes_nothing_though_it_came_another_way() {
     let (mut teller, mut taker) = (mirror(), mirror());
     let old = handed(&mut teller, 10);
-    let rows = vec![gone("i-0", 11), gone("i-1", 12), row("i-8", "ready", 14)];
+    let rows = vec![
+        deleted("i-0", 11),
+        deleted("i-1", 12),
+        row("i-8", "ready", 14),
+    ];
     taker.apply(Table::Upstreams, page(rows, 14), false, at(150));
     assert!(matches!(taker.apply_delta(old, at(200)), Merge::Stale));
     assert_eq!(taker.version(Table::Upstreams), 14);
@@ -408,7 +412,7 @@
     let rows = vec![order("evacuate/a", 5), order("evacuate/b", 6)];
     let news = mirror.apply(Table::Operator, page(rows, 6), true, at(0));
     assert_eq!(evacuated(&news), [["a", "b"]]);
-    let back = page(vec![gone("evacuate/a", 7)], 7);
+    let back = page(vec![deleted("evacuate/a", 7)], 7);
     let news = mirror.apply(Table::Operator, back, false, at(100));
     assert_eq!(evacuated(&news), [["b"]]);
     // The history was forgotten, and what is read whole holds no order any more.
@@ -437,7 +441,7 @@
     assert!(evacuated(&news).is_empty());
     let news = mirror.apply(
         Table::Operator,
-        page(vec![gone("evacuate/a", 3)], 5),
+        page(vec![deleted("evacuate/a", 3)], 5),
         false,
         at(200),
     );
--- a/crates/daemon/tests/other_writers.rs
+++ b/crates/daemon/tests/other_writers.rs
@@ -148,6 +148,6 @@
         let names = ["deadline-ms", "token-usage", "prompt-prefix", "session", "connection", "server-load", "confidence",
             "server-leaving", "server-limit", "retry-after"];
         let headers: Vec<Header> = names.iter().map(|name| Header::new(*name, &text)).collect();
-        let _ = (call::asked(&headers), call::told(200, &headers), call::told(503, &headers), call::last_event(&bytes));
+        let _ = (call::parse_request(&headers), call::parse_response(200, &headers), call::parse_response(503, &headers), call::last_event_id(&bytes));
     }
 }
--- a/crates/daemon/tests/relay/main.rs
+++ b/crates/daemon/tests/relay/main.rs
@@ -16,7 +16,7 @@
 use sorreldeck::{InstanceId, Span, Time};
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
-use sorreldeck_sim::{upstream, Node, World, LIMITS, UPSTREAMS};
+use sorreldeck_sim::{upstream, Node, World, STALENESS_LIMITS, UPSTREAMS};
 use sorreldeckd::hosted::{Command, Mirror, Relay};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -38,10 +38,10 @@
 /// Plays a schedule; returns the steps of single entries.
 fn play(seed: u64) -> u64 {
     let mut dice = ChaCha8Rng::seed_from_u64(seed);
-    let limit = LIMITS[seed as usize % LIMITS.len()];
+    let limit = STALENESS_LIMITS[seed as usize % STALENESS_LIMITS.len()];
     let (halls, entries) = (dice.random_range(1..=5), dice.random_range(2..=40));
     let mut world = World::within(limit, seed, halls, entries);
-    world.slow_links = 0.2;
+    world.slow_link_share = 0.2;
     world.put_upstreams();
     let mut impairs: VecDeque<u64> = (0..6).map(|i| 500 + i * 400).collect();
     for step in 0..3_000u64 {
@@ -59,8 +59,8 @@
             }
         }
         world.tick();
-        world.check_age();
-        world.check_left();
+        world.check_staleness();
+        world.check_retired();
     }
     3_000 * entries as u64
 }
@@ -84,7 +84,7 @@
             world.change();
         }
         world.tick();
-        world.check_age();
+        world.check_staleness();
     }
     world.store.calls
 }
@@ -107,8 +107,8 @@
         let mut world = World::new(seed, 3, 32);
         // Links take long to open while all entries start.
         world.slow_until = world.now + Span::from_millis(1_000);
-        world.pass(1_000);
-        let reads = |n: &&Node| n.reading == Subscription::All;
+        world.run(1_000);
+        let reads = |n: &&Node| n.subscription == Subscription::All;
         assert_eq!(world.nodes.iter().filter(reads).count(), 3, "seed {seed}");
         // Readers tell those of the two other data halls, one entry of each stands by with the
         // tables from the reader, and the others have them from both.
@@ -119,7 +119,7 @@
         for node in &world.nodes {
             let sources = node.relay.follow().sources(world.now);
             let near = sources.iter().filter(|s| hall(s) == node.peer.hall).count();
-            let found = (node.reading, near, sources.len() - near);
+            let found = (node.subscription, near, sources.len() - near);
             let is_right = matches!(
                 found,
                 (Subscription::All, 0, 2) | (Subscription::Nothing, 1 | 2, 0)
@@ -127,7 +127,8 @@
             assert!(is_right, "seed {seed}: {found:?}");
         }
         let ones = world.nodes.iter().filter(|n| {
-            n.reading == Subscription::Nothing && n.relay.follow().sources(world.now).len() == 1
+            n.subscription == Subscription::Nothing
+                && n.relay.follow().sources(world.now).len() == 1
         });
         assert_eq!(ones.count(), 3, "seed {seed}");
     }
@@ -144,8 +145,8 @@
         }
         world.tick();
     }
-    let most = world.sent.iter().copied().max().unwrap();
-    (world.crossed, most)
+    let most = world.sent_bytes.iter().copied().max().unwrap();
+    (world.cross_hall_bytes, most)
 }
 
 #[test]
@@ -164,19 +165,19 @@
 #[test]
 fn a_loss_of_all_readers_is_made_good_by_few_calls() {
     let mut world = World::new(3, 4, 80);
-    world.pass(500);
+    world.run(500);
     let before = world.store.calls;
     let until = world.now + Span::from_millis(6_000);
     for node in 0..world.nodes.len() {
-        if world.nodes[node].reading == Subscription::All {
+        if world.nodes[node].subscription == Subscription::All {
             world.kill(node, until);
         }
     }
-    world.pass(250);
+    world.run(250);
     let reading = world
         .nodes
         .iter()
-        .filter(|n| n.reading == Subscription::All);
+        .filter(|n| n.subscription == Subscription::All);
     assert!((4..=12).contains(&reading.count()));
     let calls = world.store.calls - before;
     assert!(calls < 100, "{calls} calls in 5 s");
@@ -186,13 +187,13 @@
 #[test]
 fn an_outage_of_the_store_makes_few_calls() {
     let mut world = World::new(5, 4, 80);
-    world.pass(500);
+    world.run(500);
     let before = world.store.calls;
     world.store.down_until = world.now + Span::from_millis(8_000);
-    world.pass(400);
+    world.run(400);
     let during = world.store.calls - before;
     assert!(during < 800, "{during} calls in an outage of 8 s");
-    world.pass(100);
+    world.run(100);
     let after = world.store.calls - before - during;
     assert!(after < 120, "{after} calls in the 2 s after it");
 }
@@ -201,16 +202,16 @@
 fn a_start_of_all_entries_sends_each_the_tables_once() {
     let mut world = World::new(13, 3, 93);
     world.put_upstreams();
-    world.pass(250);
-    println!("whole tables: {:?}", world.whole);
-    let (all, crossing) = world.whole;
+    world.run(250);
+    println!("whole tables: {:?}", world.full_tables);
+    let (all, crossing) = world.full_tables;
     // Each of those that do not read has them from one source.
     assert!(all <= 93 + 9, "{all} whole tables");
     assert!(crossing <= 9, "{crossing} to another data hall");
     assert!(world
         .nodes
         .iter()
-        .all(|n| n.uses.len() == UPSTREAMS as usize));
+        .all(|n| n.routable.len() == UPSTREAMS as usize));
 }
 
 /// An entry that has its tables from two sources, with eight upstreams that it knows, and the
@@ -223,7 +224,7 @@
     };
     // Who ranks last reads nothing.
     for own in names.iter().map(peer) {
-        let mut relay = Relay::new(own, Timeouts::of(LIMITS[2]));
+        let mut relay = Relay::new(own, Timeouts::of(STALENESS_LIMITS[2]));
         names.iter().map(peer).for_each(|p| relay.learn(p));
         relay.listed(Time(1));
         let mut mirror = Mirror::default();
@@ -258,29 +259,29 @@
 fn entries_that_the_store_turns_away_do_not_make_others_keep_upstreams(halls: usize, all: usize) {
     let mut world = World::new(5, halls, all);
     world.put_upstreams();
-    world.pass(250);
+    world.run(250);
     assert!(world
         .nodes
         .iter()
-        .all(|n| n.uses.len() == UPSTREAMS as usize));
+        .all(|n| n.routable.len() == UPSTREAMS as usize));
     let until = world.now + Span::from_millis(8_000);
     for node in world
         .nodes
         .iter_mut()
-        .filter(|n| n.reading == Subscription::All)
+        .filter(|n| n.subscription == Subscription::All)
     {
-        node.alone_until = until;
-        node.impaired(until);
+        node.store_unreachable_until = until;
+        node.mark_impaired(until);
     }
     for left in 0..4 {
         // The sources that are turned away say so, and others take their place.
-        world.pass(30);
+        world.run(30);
         let key = format!("i-{left}");
         world.store.put(Table::Upstreams, &key, None, world.now);
     }
     for _ in 0..250 {
         world.tick();
-        world.check_left();
+        world.check_retired();
     }
 }
 
@@ -327,7 +328,7 @@
     let world = each_tells(11, halls, entries, |relay, number, now| {
         relay.share_affinity(stay(number), now);
     });
-    assert_all_are_told(&world, |node| node.stays.clone());
+    assert_all_are_told(&world, |node| node.affinities.clone());
 }
 
 /// Plays entries that each tell something with their own number.
@@ -338,13 +339,13 @@
     tell: impl Fn(&mut Relay, u64, Time),
 ) -> World {
     let mut world = World::new(seed, halls, entries);
-    world.pass(250);
+    world.run(250);
     let now = world.now;
     for (number, node) in world.nodes.iter_mut().enumerate() {
         tell(&mut node.relay, number as u64, now);
     }
     // A trial begins 1 s after its record; three links gather for 40 ms and a tick each.
-    world.pass(15);
+    world.run(15);
     world
 }
 
@@ -374,10 +375,10 @@
         relay.share_quarantine(word, now);
     });
     assert_all_are_told(&world, |node| {
-        node.words.iter().filter_map(crashed).collect()
+        node.quarantine_updates.iter().filter_map(crashed).collect()
     });
     // What is gathered before it is told says so.
-    let waited = world.nodes.iter().flat_map(|node| &node.words);
+    let waited = world.nodes.iter().flat_map(|node| &node.quarantine_updates);
     let longest = waited.map(|word| match word {
         quarantine::Update::Crashed { ago_ms, .. } => *ago_ms,
         quarantine::Update::Answered(_) => 0,
@@ -413,18 +414,18 @@
 #[test]
 fn an_entry_that_starts_midway_is_told_of_sessions_that_stay() {
     let mut world = World::new(12, 3, 30);
-    world.pass(250);
+    world.run(250);
     let now = world.now;
     world.nodes[0].relay.share_affinity(stay(7), now);
-    world.pass(15);
-    let mut readers = (2..30).filter(|n| world.nodes[*n].reading == Subscription::All);
+    world.run(15);
+    let mut readers = (2..30).filter(|n| world.nodes[*n].subscription == Subscription::All);
     let reader = readers.next().unwrap();
     for starts in [1, reader] {
         world.kill(starts, now + Span::from_millis(600));
     }
-    world.pass(100);
+    world.run(100);
     for starts in [1, reader] {
-        assert!(world.nodes[starts].stays.contains(&7), "{starts}");
+        assert!(world.nodes[starts].affinities.contains(&7), "{starts}");
     }
 }
 
@@ -438,7 +439,7 @@
     };
     let play = |_| {
         let began = std::time::Instant::now();
-        let mut relay = Relay::new(peer(0), Timeouts::of(LIMITS[1]));
+        let mut relay = Relay::new(peer(0), Timeouts::of(STALENESS_LIMITS[1]));
         for i in 1..400 {
             relay.learn(peer(i));
         }
--- a/crates/daemon/tests/restore_search.rs
+++ b/crates/daemon/tests/restore_search.rs
@@ -8,7 +8,7 @@
 use sorreldeck::{Span, Time};
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
-use sorreldeck_sim::rows::{config, gone, upstream};
+use sorreldeck_sim::rows::{config, deleted, upstream};
 use sorreldeckd::hosted::{Merge, Mirror, Update};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
@@ -241,7 +241,7 @@
             .filter(|(place, _)| place.0 == table)
             .map(row);
         let dropped = self.gone.iter().filter(|(place, _)| place.0 == table);
-        let dropped = dropped.map(|(place, version)| gone(place.1, *version));
+        let dropped = dropped.map(|(place, version)| deleted(place.1, *version));
         let is_asked_for = |row: &Row| match since {
             Some(since) => row.version > since,
             None => row.value.is_some(),
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -6,7 +6,7 @@
 use sorreldeck::{Span, Time};
 use sorreldeck_platform::store::{Page, Row};
 use sorreldeck_platform::Table;
-use sorreldeck_sim::rows::{self, gone, row};
+use sorreldeck_sim::rows::{self, deleted, row};
 use sorreldeckd::hosted::{Merge, Mirror, Update};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -200,7 +200,7 @@
     let news = follower.changed(Table::Upstreams, upstream("i-3", "draining", 22));
     assert_eq!(retired(&news), names(["i-3"]));
     if is_gone {
-        follower.changed(Table::Upstreams, gone("i-3", 23));
+        follower.changed(Table::Upstreams, deleted("i-3", 23));
     }
     follower.restored();
     let mut used = joined(&follower.whole(Table::Upstreams, copied(), 20));
@@ -216,7 +216,7 @@
     follower.whole(Table::Upstreams, copied(), 20);
     let again = upstream("i-3", "draining", 21);
     assert!(joined(&follower.changed(Table::Upstreams, again)).is_empty());
-    assert!(joined(&follower.changed(Table::Upstreams, gone("i-3", 24))).is_empty());
+    assert!(joined(&follower.changed(Table::Upstreams, deleted("i-3", 24))).is_empty());
     // A later start under its name is another upstream.
     let mut other = upstream("i-3", "ready", 25);
     let value = String::from_utf8(other.value.unwrap()).unwrap();
@@ -230,7 +230,7 @@
 #[test]
 fn an_upstream_that_was_gone_and_lives_is_used_again_after_its_lease() {
     let mut follower = with_upstreams();
-    let news = follower.changed(Table::Upstreams, gone("i-3", 22));
+    let news = follower.changed(Table::Upstreams, deleted("i-3", 22));
     assert_eq!(retired(&news), names(["i-3"]));
     follower.restored();
     assert!(follower
@@ -285,7 +285,7 @@
     let again = row("evacuate/a", &json!({}), 22);
     assert_eq!(evacuated(&follower.changed(Table::Operator, again)), [1]);
     assert_eq!(
-        evacuated(&follower.changed(Table::Operator, gone("evacuate/a", 25))),
+        evacuated(&follower.changed(Table::Operator, deleted("evacuate/a", 25))),
         [0]
     );
 }
@@ -297,7 +297,7 @@
     let copy = vec![config(23, 13), order];
     follower.whole(Table::Operator, copy.clone(), 20);
     assert_eq!(
-        evacuated(&follower.changed(Table::Operator, gone("evacuate/a", 24))),
+        evacuated(&follower.changed(Table::Operator, deleted("evacuate/a", 24))),
         [0]
     );
     follower.restored();
@@ -314,7 +314,7 @@
     let mut follower = Follower::new();
     follower.whole(Table::Operator, vec![row("evacuate/a", &json!(2), 19)], 20);
     assert_eq!(
-        evacuated(&follower.changed(Table::Operator, gone("evacuate/a", 24))),
+        evacuated(&follower.changed(Table::Operator, deleted("evacuate/a", 24))),
         [0]
     );
     follower.restored();
--- a/crates/sim/src/check.rs
+++ b/crates/sim/src/check.rs
@@ -9,7 +9,7 @@
 /// How much longer than that after its last impairment an entry, or the store, is held to it.
 const CONTACT_BEYOND: Span = Span::from_millis(1_000);
 /// Returns the number of the change that a row shows.
-pub fn number_of(row: &Row) -> u64 {
+pub fn change_number(row: &Row) -> u64 {
     let bytes = row.value.iter().flatten();
     bytes.fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
@@ -20,8 +20,11 @@
         let n = &mut self.nodes[node];
         for table in [Table::Operator, Table::Progress] {
             for row in n.mirror.rows(table) {
-                let number = number_of(row);
-                let seen = n.seen.entry((table, row.key.clone())).or_default();
+                let number = change_number(row);
+                let seen = n
+                    .latest_changes
+                    .entry((table, row.key.clone()))
+                    .or_default();
                 assert!(
                     number >= *seen,
                     "{} of {} went back from {seen} to {number} at {:?}",
@@ -35,23 +38,23 @@
     }
 
     /// Returns the entries that have been without impairment for long, as the store has.
-    pub fn held(&self) -> impl Iterator<Item = &Node> {
-        let contact = self.limit + CONTACT_BEYOND;
+    pub fn unimpaired(&self) -> impl Iterator<Item = &Node> {
+        let contact = self.staleness_limit + CONTACT_BEYOND;
         let held = move |since: Time| self.now.since(since) >= contact && self.now >= since;
-        let is_stable = held(self.store.back_since);
+        let is_stable = held(self.store.available_since);
         self.nodes
             .iter()
-            .filter(move |n| is_stable && held(n.well_since))
+            .filter(move |n| is_stable && held(n.healthy_since))
     }
 
     /// No entry that is held to the bounds uses an upstream whose row went long ago.
-    pub fn check_left(&self) {
+    pub fn check_retired(&self) {
         let is_left = |row: &Row| {
             let gone_at = self.store.changed_at(row.version);
-            row.value.is_none() && self.now.since(gone_at) >= self.limit
+            row.value.is_none() && self.now.since(gone_at) >= self.staleness_limit
         };
-        for n in self.held() {
-            for used in &n.uses {
+        for n in self.unimpaired() {
+            for used in &n.routable {
                 let row = &self.store.rows[&(Table::Upstreams, used.to_string())];
                 assert!(
                     !is_left(row),
@@ -61,7 +64,7 @@
                     self.store.changed_at(row.version),
                     row.version,
                     n.mirror.version(Table::Upstreams),
-                    n.reading,
+                    n.subscription,
                     n.relay.follow().sources(self.now),
                 );
             }
@@ -69,12 +72,12 @@
     }
 
     /// Whoever has been without impairment for long knows what was changed long ago.
-    pub fn check_age(&self) {
-        for n in self.held() {
+    pub fn check_staleness(&self) {
+        for n in self.unimpaired() {
             for table in [Table::Operator, Table::Progress, Table::Upstreams] {
                 let due = self.store.changes.iter().rev();
                 let due = due.filter(|(_, t, _)| *t == table);
-                let mut due = due.filter(|(at, ..)| self.now.since(*at) >= self.limit);
+                let mut due = due.filter(|(at, ..)| self.now.since(*at) >= self.staleness_limit);
                 let Some((at, _, version)) = due.next() else {
                     continue;
                 };
@@ -85,7 +88,7 @@
                     n.peer.name,
                     self.now,
                     at,
-                    n.reading,
+                    n.subscription,
                     n.relay.follow().sources(self.now),
                 );
             }
--- a/crates/sim/src/trouble.rs
+++ b/crates/sim/src/faults.rs
@@ -20,8 +20,8 @@
             true => Table::Operator,
             false => Table::Progress,
         };
-        self.store.made += 1;
-        let made = (1 + self.store.made).to_be_bytes().to_vec();
+        self.store.change_count += 1;
+        let made = (1 + self.store.change_count).to_be_bytes().to_vec();
         let value = self.rng.random_bool(0.8).then_some(made);
         self.store.put(table, &key, value, self.now);
     }
@@ -36,26 +36,26 @@
         }
         let readers = kind == 5;
         for node in 0..self.nodes.len() {
-            let reads = self.nodes[node].reading == Subscription::All;
+            let reads = self.nodes[node].subscription == Subscription::All;
             if !(readers && reads || self.rng.random_bool(share)) {
                 continue;
             }
             match kind {
                 0 | 5 => self.kill(node, until),
                 1 => self.nodes[node].frozen_until = until,
-                2 => self.nodes[node].cut_until = until,
-                3 => self.nodes[node].alone_until = until,
+                2 => self.nodes[node].partitioned_until = until,
+                3 => self.nodes[node].store_unreachable_until = until,
                 4 => {
-                    self.nodes[node].cut_until = until;
-                    self.nodes[node].alone_until = until;
+                    self.nodes[node].partitioned_until = until;
+                    self.nodes[node].store_unreachable_until = until;
                 }
                 _ => {
                     self.kill_connections(node);
-                    self.nodes[node].impaired(self.now);
+                    self.nodes[node].mark_impaired(self.now);
                     continue;
                 }
             }
-            self.nodes[node].impaired(until);
+            self.nodes[node].mark_impaired(until);
         }
     }
 
@@ -69,11 +69,11 @@
 
     /// Lets the store forget its history: waits under way are told, and those that begin
     /// soon after hear nothing until their own end.
-    pub fn forget(&mut self) {
+    pub fn compact(&mut self) {
         let until = self.now + Span::from_millis(self.rng.random_range(0..1_200));
-        self.store.forgotten = self.store.version;
-        self.store.deaf_until = until;
-        self.store.back_since = self.store.back_since.max(until);
+        self.store.compacted_to = self.store.version;
+        self.store.feed_stalled_until = until;
+        self.store.available_since = self.store.available_since.max(until);
         self.break_off_waits();
     }
 
@@ -88,16 +88,16 @@
     /// Lets the store come back from a copy that is some seconds old. The operator and the
     /// upstreams write again what they wrote, each at a time of its own; some never do.
     pub fn restore(&mut self, back: Time) {
-        let copies = self.store.copies.len();
+        let copies = self.store.backups.len();
         if copies == 0 {
             return;
         }
-        let copy = self.store.copies[self.rng.random_range(0..copies)].clone();
-        self.store.is_silent = self.rng.random_bool(0.5);
+        let copy = self.store.backups[self.rng.random_range(0..copies)].clone();
+        self.store.is_hanging = self.rng.random_bool(0.5);
         for (table, row) in self.store.restore(copy, back) {
             let after = Span::from_millis(self.rng.random_range(0..3_000));
             if table != Table::Upstreams || self.rng.random_bool(0.9) {
-                self.store.later(back + after, table, row);
+                self.store.schedule_rewrite(back + after, table, row);
             }
         }
         self.break_off_waits();
@@ -107,23 +107,23 @@
         match kind {
             7 => {
                 self.store.down_until = until;
-                self.store.back_since = self.store.back_since.max(until);
-                self.store.is_silent = self.rng.random_bool(0.5);
+                self.store.available_since = self.store.available_since.max(until);
+                self.store.is_hanging = self.rng.random_bool(0.5);
             }
-            8 => self.forget(),
+            8 => self.compact(),
             11 | 12 => self.restore(until),
             9 => {
                 // All open links at once, while new ones work.
-                self.silent.extend(self.links.keys());
+                self.blackholed.extend(self.links.keys());
                 let now = self.now;
                 for node in &mut self.nodes {
-                    node.impaired(now);
+                    node.mark_impaired(now);
                 }
             }
             _ => {
                 self.slow_until = until;
                 for node in &mut self.nodes {
-                    node.impaired(until);
+                    node.mark_impaired(until);
                 }
             }
         }
@@ -134,21 +134,21 @@
         let until = self.now + Span::from_millis(self.rng.random_range(2_000..9_000));
         let kind = self.rng.random_range(0..5);
         for node in 0..self.nodes.len() {
-            if self.nodes[node].reading != Subscription::All {
+            if self.nodes[node].subscription != Subscription::All {
                 continue;
             }
             match kind {
                 0 => self.kill(node, until),
                 1 => self.nodes[node].frozen_until = until,
-                2 => self.nodes[node].alone_until = until,
-                3 => self.nodes[node].cut_until = until,
+                2 => self.nodes[node].store_unreachable_until = until,
+                3 => self.nodes[node].partitioned_until = until,
                 _ => {
                     self.kill_connections(node);
-                    self.nodes[node].impaired(self.now);
+                    self.nodes[node].mark_impaired(self.now);
                     continue;
                 }
             }
-            self.nodes[node].impaired(until);
+            self.nodes[node].mark_impaired(until);
         }
     }
 }
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -9,17 +9,18 @@
 //!
 //! let mut world = World::new(7, 2, 4);
 //! world.put_upstreams();
-//! world.pass(100);
-//! let uses = world.nodes.iter().map(|node| node.uses.len() as u64);
-//! assert!(uses.eq([world.upstreams; 4]));
+//! world.run(100);
+//! let routable = world.nodes.iter().map(|node| node.routable.len() as u64);
+//! assert!(routable.eq([world.upstreams; 4]));
 //! ```
 
 mod check;
+mod faults;
 pub mod rows;
 mod store;
-mod trouble;
+
 mod world;
 
-pub use check::number_of;
-pub use store::{Copy, Rows, Store};
-pub use world::{upstream, End, Event, Node, Poll, World, LIMITS, TICK, UPSTREAMS};
+pub use check::change_number;
+pub use store::{Backup, Rows, Store};
+pub use world::{upstream, End, Event, Node, Poll, World, STALENESS_LIMITS, TICK, UPSTREAMS};
--- a/crates/sim/src/rows.rs
+++ b/crates/sim/src/rows.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns a row that was dropped.
-pub fn gone(key: &str, version: u64) -> Row {
+pub fn deleted(key: &str, version: u64) -> Row {
     Row {
         key: key.to_owned(),
         value: None,
--- a/crates/sim/src/store.rs
+++ b/crates/sim/src/store.rs
@@ -16,7 +16,7 @@
 
 /// A state of the store that it may come back from.
 #[derive(Clone)]
-pub struct Copy {
+pub struct Backup {
     pub at: Time,
     pub version: u64,
     pub rows: Rows,
@@ -30,18 +30,18 @@
     pub rows: Rows,
     /// The changes of this era.
     pub changes: Vec<(Time, Table, u64)>,
-    pub copies: VecDeque<Copy>,
+    pub backups: VecDeque<Backup>,
     /// What was lost and is written again by those who wrote it, unless they change it before.
-    pub again: Vec<(Time, Table, Row)>,
-    pub forgotten: u64,
+    pub pending_rewrites: Vec<(Time, Table, Row)>,
+    pub compacted_to: u64,
     pub calls: u64,
     /// The changes that were ever made by [`World::change`].
-    pub made: u64,
+    pub change_count: u64,
     pub down_until: Time,
-    pub back_since: Time,
-    pub is_silent: bool,
+    pub available_since: Time,
+    pub is_hanging: bool,
     /// Waits that begin before then hear nothing until their own end.
-    pub deaf_until: Time,
+    pub feed_stalled_until: Time,
 }
 
 impl Store {
@@ -54,7 +54,7 @@
         };
         self.rows.insert((table, key.to_owned()), row);
         self.changes.push((now, table, self.version));
-        self.again
+        self.pending_rewrites
             .retain(|(_, t, r)| (*t, r.key.as_str()) != (table, key));
     }
 
@@ -62,35 +62,35 @@
     pub fn changed_at(&self, version: u64) -> Time {
         let mut changes = self.changes.iter().rev();
         let change = changes.find(|(_, _, v)| *v == version);
-        change.map_or(self.back_since, |(at, ..)| *at)
+        change.map_or(self.available_since, |(at, ..)| *at)
     }
 
     /// Takes a copy now and then.
-    pub fn copy(&mut self, now: Time) {
-        let last = self.copies.back().map(|copy| copy.at);
+    pub fn back_up(&mut self, now: Time) {
+        let last = self.backups.back().map(|copy| copy.at);
         if last.is_some_and(|at| now.since(at) < COPY_EVERY) {
             return;
         }
-        self.copies.push_back(Copy {
+        self.backups.push_back(Backup {
             at: now,
             version: self.version,
             rows: self.rows.clone(),
         });
-        if self.copies.len() > COPIES {
-            self.copies.pop_front();
+        if self.backups.len() > COPIES {
+            self.backups.pop_front();
         }
     }
 
     /// Comes back from a copy at a time; returns the rows that are lost, as they stood last.
-    pub fn restore(&mut self, copy: Copy, back: Time) -> Vec<(Table, Row)> {
+    pub fn restore(&mut self, copy: Backup, back: Time) -> Vec<(Table, Row)> {
         let rows = std::mem::replace(&mut self.rows, copy.rows);
         self.version = copy.version;
-        self.forgotten = copy.version;
+        self.compacted_to = copy.version;
         self.era = Era(self.era.0 + 1);
         self.changes.clear();
         self.down_until = back;
-        self.back_since = self.back_since.max(back);
-        self.copies.clear();
+        self.available_since = self.available_since.max(back);
+        self.backups.clear();
         let is_lost = |place: &(Table, String), row: &Row| {
             let copied = self.rows.get(place);
             copied.is_none_or(|copied| copied.version != row.version)
@@ -100,29 +100,29 @@
     }
 
     /// Writes again what is due.
-    pub fn write_again(&mut self, now: Time) {
-        let again = std::mem::take(&mut self.again).into_iter();
+    pub fn rewrite(&mut self, now: Time) {
+        let again = std::mem::take(&mut self.pending_rewrites).into_iter();
         let (due, later): (Vec<_>, Vec<_>) = again.partition(|(at, ..)| now >= *at);
-        self.again = later;
+        self.pending_rewrites = later;
         for (_, table, row) in due {
             self.put(table, &row.key, row.value, now);
         }
     }
 
     /// Notes that a row is to be written again at a time.
-    pub fn later(&mut self, at: Time, table: Table, row: Row) {
-        self.again
+    pub fn schedule_rewrite(&mut self, at: Time, table: Table, row: Row) {
+        self.pending_rewrites
             .retain(|(_, t, r)| (*t, &r.key) != (table, &row.key));
-        self.again.push((at, table, row));
+        self.pending_rewrites.push((at, table, row));
     }
 
-    pub fn newest(&self, table: Table) -> u64 {
+    pub fn newest_version(&self, table: Table) -> u64 {
         let of = self.rows.iter().filter(|((t, _), _)| *t == table);
         of.map(|(_, row)| row.version).max().unwrap_or(0)
     }
 
     pub fn page(&self, table: Table, since: Option<u64>, now: Time) -> (Page, bool) {
-        let is_had = |v: &u64| (self.forgotten..=self.version).contains(v);
+        let is_had = |v: &u64| (self.compacted_to..=self.version).contains(v);
         let since = since.filter(is_had);
         let of = self.rows.iter().filter(|((t, _), _)| *t == table);
         let rows = of.map(|(_, row)| row.clone()).filter(|row| match since {
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,6 +1,6 @@
 //! Entries, their links and a store, and what is checked at each step.
 
-use crate::check::number_of;
+use crate::check::change_number;
 use crate::rows;
 use crate::store::Store;
 use rand::{RngExt, SeedableRng};
@@ -19,7 +19,7 @@
 
 /// The times within which a change must be known, as installations of some three, 30 and 100
 /// entries set them.
-pub const LIMITS: [Span; 3] = [
+pub const STALENESS_LIMITS: [Span; 3] = [
     Span::from_millis(2_000),
     Span::from_millis(3_000),
     Span::from_millis(4_000),
@@ -28,15 +28,15 @@
 /// The key of the operator's row that stands for the configuration.
 const CONFIGURATION: &str = "x-0";
 /// How long the tables besides the operator's are waited on.
-pub const WAIT_OTHERS: Span = Span::from_millis(20_000);
+pub const OTHER_POLL_WAIT: Span = Span::from_millis(20_000);
 /// The upstreams that come and go: so many that those which leave at the same time are few of
 /// them, since half of all that go at once are taken for lapsed leases.
 pub const UPSTREAMS: u64 = 30;
 /// How long a call hangs beyond its wait before it is given up.
-pub const HANGS: Span = Span::from_millis(1_500);
+pub const CALL_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// Returns how long changes of a table are gathered before the next are waited for.
-pub fn gathering(table: Table) -> Span {
+pub fn batch_delay(table: Table) -> Span {
     Span::from_millis(match table {
         Table::Operator | Table::Progress => 250,
         Table::Upstreams => 600,
@@ -54,7 +54,7 @@
     pub answered: bool,
     pub failures: u32,
     /// Whether the wait hears nothing until its own end.
-    pub is_deaf: bool,
+    pub is_stalled: bool,
     /// Whether its connection is dead, so that it is never answered.
     pub is_dead: bool,
 }
@@ -63,25 +63,25 @@
     pub peer: Peer,
     pub relay: Relay,
     pub mirror: Mirror,
-    pub reading: Subscription,
+    pub subscription: Subscription,
     pub polls: [Poll; 4],
     /// Not running before.
     pub down_until: Time,
     /// Running, but standing still until then.
     pub frozen_until: Time,
-    pub cut_until: Time,
+    pub partitioned_until: Time,
     /// Not reached by the store until then.
-    pub alone_until: Time,
-    pub well_since: Time,
+    pub store_unreachable_until: Time,
+    pub healthy_since: Time,
     /// The sessions that it was told of.
-    pub stays: BTreeSet<u64>,
+    pub affinities: BTreeSet<u64>,
     /// What was told of requests under which upstreams crashed.
-    pub words: Vec<quarantine::Update>,
+    pub quarantine_updates: Vec<quarantine::Update>,
     pub notices: Vec<notice::Update>,
     /// The number of the latest change that was seen of each row in this life.
-    pub seen: BTreeMap<(Table, String), u64>,
+    pub latest_changes: BTreeMap<(Table, String), u64>,
     /// The upstreams that may get requests.
-    pub uses: BTreeSet<UpstreamId>,
+    pub routable: BTreeSet<UpstreamId>,
 }
 
 impl Node {
@@ -90,18 +90,18 @@
             relay: Relay::new(peer.clone(), Timeouts::of(limit)),
             peer,
             mirror: Mirror::default(),
-            reading: Subscription::Nothing,
+            subscription: Subscription::Nothing,
             polls: [Poll::default(); 4],
             down_until: Time::default(),
             frozen_until: Time::default(),
-            cut_until: Time::default(),
-            alone_until: Time::default(),
-            well_since: Time::default(),
-            stays: BTreeSet::new(),
-            words: Vec::new(),
+            partitioned_until: Time::default(),
+            store_unreachable_until: Time::default(),
+            healthy_since: Time::default(),
+            affinities: BTreeSet::new(),
+            quarantine_updates: Vec::new(),
             notices: Vec::new(),
-            seen: BTreeMap::new(),
-            uses: BTreeSet::new(),
+            latest_changes: BTreeMap::new(),
+            routable: BTreeSet::new(),
         }
     }
 
@@ -110,17 +110,17 @@
     }
 
     /// Returns the number of the configuration that it has in force.
-    pub fn in_force(&self) -> u64 {
+    pub fn config_number(&self) -> u64 {
         let row = self.mirror.row(Table::Operator, CONFIGURATION);
-        row.map_or(0, number_of)
+        row.map_or(0, change_number)
     }
 
     pub fn is_running(&self, now: Time) -> bool {
         self.is_up(now) && now >= self.frozen_until
     }
 
-    pub fn impaired(&mut self, until: Time) {
-        self.well_since = self.well_since.max(until);
+    pub fn mark_impaired(&mut self, until: Time) {
+        self.healthy_since = self.healthy_since.max(until);
     }
 }
 
@@ -135,7 +135,7 @@
 
 pub struct World {
     /// The time within which a change must be known.
-    pub limit: Span,
+    pub staleness_limit: Span,
     /// The upstreams that come and go.
     pub upstreams: u64,
     pub rng: ChaCha8Rng,
@@ -145,52 +145,52 @@
     /// The other end of each link.
     pub links: BTreeMap<End, End>,
     /// The ends of links that went silent for good, without a reset.
-    pub silent: BTreeSet<End>,
+    pub blackholed: BTreeSet<End>,
     pub events: BTreeMap<(Time, u64), Event>,
     /// The share of links over which messages take longer.
-    pub slow_links: f64,
+    pub slow_link_share: f64,
     /// What messages take longer over some links than over others.
     pub delays: BTreeMap<End, Span>,
     /// When the last message to an end arrives: they do not overtake each other.
-    pub last: BTreeMap<End, Time>,
-    pub next: Link,
-    pub order: u64,
+    pub last_arrival: BTreeMap<End, Time>,
+    pub next_link: Link,
+    pub last_event_number: u64,
     /// Messages that take longer than usual until then.
     pub slow_until: Time,
     /// The bytes that went from one data hall to another.
-    pub crossed: u64,
+    pub cross_hall_bytes: u64,
     /// The bytes that each entry sent.
-    pub sent: Vec<u64>,
+    pub sent_bytes: Vec<u64>,
     /// The tables of upstreams that were sent whole, and those among them to another hall.
-    pub whole: (u64, u64),
+    pub full_tables: (u64, u64),
 }
 
 impl World {
     pub fn new(seed: u64, halls: usize, entries: usize) -> World {
-        World::within(LIMITS[2], seed, halls, entries)
+        World::within(STALENESS_LIMITS[2], seed, halls, entries)
     }
 
     /// Creates a world in which changes must be known within a time.
     pub fn within(limit: Span, seed: u64, halls: usize, entries: usize) -> World {
         let mut world = World {
-            limit,
+            staleness_limit: limit,
             upstreams: UPSTREAMS,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Time(1_000_000),
             store: Store::default(),
             nodes: Vec::new(),
             links: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            blackholed: BTreeSet::new(),
             events: BTreeMap::new(),
-            slow_links: 0.0,
+            slow_link_share: 0.0,
             delays: BTreeMap::new(),
-            last: BTreeMap::new(),
-            next: 1,
-            order: 0,
+            last_arrival: BTreeMap::new(),
+            next_link: 1,
+            last_event_number: 0,
             slow_until: Time::default(),
-            crossed: 0,
-            sent: vec![0; entries],
-            whole: (0, 0),
+            cross_hall_bytes: 0,
+            sent_bytes: vec![0; entries],
+            full_tables: (0, 0),
         };
         for i in 0..entries {
             let name = format!("e-{i}").parse().unwrap();
@@ -220,8 +220,8 @@
 
     /// Writes another configuration; returns its number.
     pub fn configure(&mut self) -> u64 {
-        self.store.made += 1;
-        let number = 1 + self.store.made;
+        self.store.change_count += 1;
+        let number = 1 + self.store.change_count;
         let value = Some(number.to_be_bytes().to_vec());
         self.store
             .put(Table::Operator, CONFIGURATION, value, self.now);
@@ -234,13 +234,13 @@
         Span::from_micros(self.rng.random_range(500..most))
     }
 
-    pub fn at(&mut self, time: Time, event: Event) {
-        self.order += 1;
-        self.events.insert((time, self.order), event);
+    pub fn schedule(&mut self, time: Time, event: Event) {
+        self.last_event_number += 1;
+        self.events.insert((time, self.last_event_number), event);
     }
 
     pub fn reaches(&self, from: usize, to: usize) -> bool {
-        let cut = |n: &Node| self.now < n.cut_until;
+        let cut = |n: &Node| self.now < n.partitioned_until;
         !cut(&self.nodes[from]) && !cut(&self.nodes[to])
     }
 
@@ -248,39 +248,39 @@
         let Some(to) = self.links.get(&from).copied() else {
             return;
         };
-        if !self.reaches(from.0, to.0) || self.silent.contains(&from) {
+        if !self.reaches(from.0, to.0) || self.blackholed.contains(&from) {
             return;
         }
         let bytes = wire::encode(std::slice::from_ref(&frame)).len() as u64;
-        self.sent[from.0] += bytes;
+        self.sent_bytes[from.0] += bytes;
         let crosses = self.nodes[from.0].peer.hall != self.nodes[to.0].peer.hall;
         if crosses {
-            self.crossed += bytes;
+            self.cross_hall_bytes += bytes;
         }
         if is_whole(&frame) {
-            self.whole.0 += 1;
-            self.whole.1 += u64::from(crosses);
+            self.full_tables.0 += 1;
+            self.full_tables.1 += u64::from(crosses);
         }
         let own = self.delays.get(&from).copied().unwrap_or_default();
         let due = self.now + self.delay() + own;
-        let last = self.last.entry(to).or_default();
+        let last = self.last_arrival.entry(to).or_default();
         let due = due.max(*last);
         *last = due;
         if self.rng.random_bool(0.05) {
             let late = due + Span::from_millis(self.rng.random_range(0..800));
-            self.at(late, Event::Frame(to, Box::new(frame.clone())));
+            self.schedule(late, Event::Frame(to, Box::new(frame.clone())));
         }
-        self.at(due, Event::Frame(to, Box::new(frame)));
+        self.schedule(due, Event::Frame(to, Box::new(frame)));
     }
 
-    pub fn carry_out(&mut self, node: usize, orders: Vec<Command>) {
+    pub fn execute(&mut self, node: usize, orders: Vec<Command>) {
         for order in orders {
             match order {
                 Command::Open(name, _) => self.open(node, name),
                 Command::Close(link) => self.close((node, link)),
                 Command::Send(link, frame) => self.send((node, link), frame),
                 Command::Read(reading) => {
-                    let before = std::mem::replace(&mut self.nodes[node].reading, reading);
+                    let before = std::mem::replace(&mut self.nodes[node].subscription, reading);
                     for (poll, table) in self.nodes[node].polls.iter_mut().zip(Table::ALL) {
                         if !is_read(reading, table) || before == Subscription::Entries {
                             *poll = Poll::default();
@@ -290,8 +290,8 @@
                 Command::Poll(table) => {
                     self.nodes[node].polls[table as usize] = Poll::default();
                 }
-                Command::Affinity(stay) => drop(self.nodes[node].stays.insert(stay.session)),
-                Command::Quarantine(word) => self.nodes[node].words.push(word),
+                Command::Affinity(stay) => drop(self.nodes[node].affinities.insert(stay.session)),
+                Command::Quarantine(word) => self.nodes[node].quarantine_updates.push(word),
                 Command::Notice(word) => self.nodes[node].notices.push(word),
                 Command::Report(..) | Command::Prefill(..) => {}
             }
@@ -308,33 +308,33 @@
                 true => back,
                 false => Span::from_millis(500),
             };
-            return self.at(self.now + after, Event::Opened(node, name, None));
+            return self.schedule(self.now + after, Event::Opened(node, name, None));
         }
-        let (a, b) = ((node, self.next), (to, self.next + 1));
-        self.next += 2;
-        if self.rng.random_bool(self.slow_links) {
+        let (a, b) = ((node, self.next_link), (to, self.next_link + 1));
+        self.next_link += 2;
+        if self.rng.random_bool(self.slow_link_share) {
             let delay = Span::from_millis(self.rng.random_range(20..200));
             self.delays.insert(a, delay);
             self.delays.insert(b, delay);
         }
-        self.at(self.now + back, Event::Opened(node, name, Some((a.1, b))));
+        self.schedule(self.now + back, Event::Opened(node, name, Some((a.1, b))));
     }
 
     pub fn close(&mut self, end: End) {
         if let Some(other) = self.links.remove(&end) {
-            if self.silent.contains(&end) {
+            if self.blackholed.contains(&end) {
                 return;
             }
             self.links.remove(&other);
             let due = self.now + self.delay();
-            self.at(due, Event::Closed(other));
+            self.schedule(due, Event::Closed(other));
         }
     }
 
     pub fn deliver(&mut self, event: Event) {
         let (now, frozen) = (self.now, self.is_frozen(&event));
         if frozen {
-            return self.at(now + TICK, event);
+            return self.schedule(now + TICK, event);
         }
         match event {
             Event::Opened(node, name, opened) => {
@@ -348,7 +348,7 @@
                 });
                 let n = &mut self.nodes[node];
                 let orders = n.relay.opened(name, link, &n.mirror, now);
-                self.carry_out(node, orders);
+                self.execute(node, orders);
             }
             Event::Frame(end, frame) => {
                 if !self.links.contains_key(&end) || !self.nodes[end.0].is_up(now) {
@@ -356,12 +356,12 @@
                 }
                 let n = &mut self.nodes[end.0];
                 let (news, orders) = n.relay.handle_frame(end.1, *frame, &mut n.mirror, now);
-                self.note_restored(end.0);
-                self.take_news(end.0, news);
-                self.carry_out(end.0, orders);
+                self.handle_restore(end.0);
+                self.apply_updates(end.0, news);
+                self.execute(end.0, orders);
                 let n = &mut self.nodes[end.0];
                 let orders = n.relay.publish(&mut n.mirror, now);
-                self.carry_out(end.0, orders);
+                self.execute(end.0, orders);
             }
             Event::Closed(end) => {
                 self.links.remove(&end);
@@ -378,13 +378,13 @@
         self.nodes[node].is_up(self.now) && self.now < self.nodes[node].frozen_until
     }
 
-    pub fn take_news(&mut self, node: usize, news: Vec<Update>) {
+    pub fn apply_updates(&mut self, node: usize, news: Vec<Update>) {
         let node = &mut self.nodes[node];
         for news in news {
             match news {
                 Update::Entry(peer) => node.relay.learn(peer),
-                Update::Joined(listed) => drop(node.uses.insert(listed.member.upstream)),
-                Update::Retired(upstream) => drop(node.uses.remove(&upstream)),
+                Update::Joined(listed) => drop(node.routable.insert(listed.member.upstream)),
+                Update::Retired(upstream) => drop(node.routable.remove(&upstream)),
                 _ => {}
             }
         }
@@ -395,22 +395,22 @@
         for end in ends {
             self.close(end);
         }
-        let mut fresh = Node::new(self.nodes[node].peer.clone(), self.limit);
+        let mut fresh = Node::new(self.nodes[node].peer.clone(), self.staleness_limit);
         fresh.down_until = until;
-        fresh.well_since = until.max(self.nodes[node].well_since);
-        fresh.cut_until = self.nodes[node].cut_until;
-        fresh.alone_until = self.nodes[node].alone_until;
+        fresh.healthy_since = until.max(self.nodes[node].healthy_since);
+        fresh.partitioned_until = self.nodes[node].partitioned_until;
+        fresh.store_unreachable_until = self.nodes[node].store_unreachable_until;
         self.nodes[node] = fresh;
     }
 
     pub fn is_store_up(&self, node: usize) -> bool {
-        self.now >= self.store.down_until && self.now >= self.nodes[node].alone_until
+        self.now >= self.store.down_until && self.now >= self.nodes[node].store_unreachable_until
     }
 
     /// Lets an entry call the store as its followers of the tables do.
     pub fn poll(&mut self, node: usize) {
         for (number, table) in Table::ALL.into_iter().enumerate() {
-            let reading = self.nodes[node].reading;
+            let reading = self.nodes[node].subscription;
             let poll = self.nodes[node].polls[number];
             if !is_read(reading, table) || self.now < poll.pause_until {
                 continue;
@@ -419,7 +419,7 @@
                 self.store.calls += 1;
                 let poll = &mut self.nodes[node].polls[number];
                 poll.since = Some(self.now);
-                poll.is_deaf = poll.answered && self.now < self.store.deaf_until;
+                poll.is_stalled = poll.answered && self.now < self.store.feed_stalled_until;
             }
             let poll = self.nodes[node].polls[number];
             let since = poll.since.unwrap_or(self.now);
@@ -434,7 +434,7 @@
     /// Lets a call hang on its dead connection until it is given up.
     pub fn hang(&mut self, node: usize, table: Table, since: Time) {
         let wait = self.wait(node, table);
-        if self.now.since(since) >= wait + HANGS {
+        if self.now.since(since) >= wait + CALL_TIMEOUT {
             self.fail(node, table);
         }
     }
@@ -444,11 +444,11 @@
         let n = &self.nodes[node];
         match table {
             _ if !n.polls[table as usize].answered => Span::default(),
-            Table::Operator if n.reading == Subscription::All => {
+            Table::Operator if n.subscription == Subscription::All => {
                 n.relay.follow().timeouts().long_poll
             }
             Table::Operator => Span::from_millis(2_500),
-            _ => WAIT_OTHERS,
+            _ => OTHER_POLL_WAIT,
         }
     }
 
@@ -457,10 +457,10 @@
         let wait = self.wait(node, table);
         let n = &mut self.nodes[node];
         let known = n.mirror.base(table);
-        let hears = !n.polls[table as usize].is_deaf;
+        let hears = !n.polls[table as usize].is_stalled;
         let is_news = |known| {
             let is_had = known <= self.store.version;
-            !is_had || (hears && self.store.newest(table) > known)
+            !is_had || (hears && self.store.newest_version(table) > known)
         };
         if !known.is_none_or(is_news) && now.since(since) < wait {
             return;
@@ -470,33 +470,33 @@
         let (page, whole) = self.store.page(table, known, now);
         let heard = n.mirror.observe_era(table, &page, whole, since, now);
         assert_ne!(heard, Freshness::Stale);
-        self.note_restored(node);
+        self.handle_restore(node);
         let n = &mut self.nodes[node];
         if table == Table::Operator && n.polls[table as usize].failures > 0 {
             // The others begin anew.
             n.polls = [Poll::default(); 4];
         }
         n.polls[table as usize] = Poll {
-            pause_until: now + gathering(table),
+            pause_until: now + batch_delay(table),
             answered: true,
             ..Poll::default()
         };
         n.relay.note_answer(table, now);
         let news = n.mirror.apply(table, page, whole, now);
-        self.take_news(node, news);
+        self.apply_updates(node, news);
         let n = &mut self.nodes[node];
         if table == Table::Own {
             n.relay.listed(now);
-            if n.reading == Subscription::Entries {
-                n.polls[table as usize].pause_until = now + WAIT_OTHERS;
+            if n.subscription == Subscription::Entries {
+                n.polls[table as usize].pause_until = now + OTHER_POLL_WAIT;
             }
         }
         let orders = n.relay.publish(&mut n.mirror, now);
-        self.carry_out(node, orders);
+        self.execute(node, orders);
     }
 
     /// Begins all waits of an entry anew where it has just heard that the store was restored.
-    pub fn note_restored(&mut self, node: usize) {
+    pub fn handle_restore(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if n.mirror.take_restored().is_some() {
             n.polls = [Poll::default(); 4];
@@ -507,8 +507,8 @@
     pub fn refuse(&mut self, node: usize, table: Table, since: Time) {
         let now = self.now;
         let n = &mut self.nodes[node];
-        let silent = self.store.is_silent || n.peer.name.as_str().len() % 2 == 0;
-        let hangs = n.relay.follow().timeouts().long_poll + HANGS;
+        let silent = self.store.is_hanging || n.peer.name.as_str().len() % 2 == 0;
+        let hangs = n.relay.follow().timeouts().long_poll + CALL_TIMEOUT;
         if silent && now.since(since) < hangs {
             return;
         }
@@ -518,7 +518,7 @@
     pub fn fail(&mut self, node: usize, table: Table) {
         let now = self.now;
         let n = &mut self.nodes[node];
-        let pause = match (table, n.reading) {
+        let pause = match (table, n.subscription) {
             (Table::Operator, Subscription::Operator) => 2_000,
             (Table::Operator, _) => 600,
             (_, Subscription::Entries) => 150,
@@ -538,8 +538,8 @@
     pub fn tick(&mut self) {
         self.now = self.now + TICK;
         if self.now >= self.store.down_until {
-            self.store.copy(self.now);
-            self.store.write_again(self.now);
+            self.store.back_up(self.now);
+            self.store.rewrite(self.now);
         }
         while let Some(((time, _), _)) = self.events.first_key_value() {
             if *time > self.now {
@@ -555,17 +555,17 @@
             let (now, n) = (self.now, &mut self.nodes[node]);
             let heard = n.relay.follow().last_sync();
             let lapsed = n.mirror.tick(now, heard);
-            self.take_news(node, lapsed);
+            self.apply_updates(node, lapsed);
             let n = &mut self.nodes[node];
             let orders = n.relay.step(&mut n.mirror, now);
-            self.carry_out(node, orders);
+            self.execute(node, orders);
             self.poll(node);
             self.check_rows(node);
         }
     }
 
     /// Lets so many steps pass.
-    pub fn pass(&mut self, steps: usize) {
+    pub fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.tick();
         }
