--- a/crates/sim/src/check.rs
+++ b/crates/sim/src/check.rs
@@ -1,4 +1,4 @@
-//! What must hold at each step.
+//! Invariants that the simulation checks.
 
 use crate::world::{Node, World};
 use sorreldeck::era::Stamp;
@@ -6,59 +6,73 @@
 use sorreldeck_platform::store::Row;
 use sorreldeck_platform::Table;
 
-/// How much longer than that after its last impairment an entry, or the store, is held to it.
-const CONTACT_BEYOND: Span = Span::from_millis(1_000);
-/// Returns the number of the change that a row shows.
+/// Time beyond the staleness limit for which an entry, and the store, must have been unimpaired
+/// before the limit applies to the entry.
+const RECOVERY_MARGIN: Span = Span::from_millis(1_000);
+
+/// Returns the number of the change that a row holds as its value.
 pub fn change_number(row: &Row) -> u64 {
     let bytes = row.value.iter().flatten();
     bytes.fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
 
 impl World {
-    /// No row goes back to an earlier state within one life, also where the store does.
+    /// Checks that no row of an entry returns to an earlier state between two restarts of the entry,
+    /// even if the store is restored to one.
+    ///
+    /// # Panics
+    ///
+    /// Panics if one does.
     pub fn check_rows(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         for table in [Table::Operator, Table::Progress] {
             for row in n.mirror.rows(table) {
                 let number = change_number(row);
-                let seen = n
+                let latest = n
                     .latest_changes
                     .entry((table, row.key.clone()))
                     .or_default();
                 assert!(
-                    number >= *seen,
-                    "{} of {} went back from {seen} to {number} at {:?}",
+                    number >= *latest,
+                    "row {} of {} returned from change {latest} to {number} at {:?}",
                     row.key,
                     n.peer.name,
                     self.now
                 );
-                *seen = number;
+                *latest = number;
             }
         }
     }
 
-    /// Returns the entries that have been without impairment for long, as the store has.
+    /// Returns the entries that have been unimpaired for longer than the staleness limit, or none if
+    /// the store has not.
     pub fn unimpaired(&self) -> impl Iterator<Item = &Node> {
-        let contact = self.staleness_limit + CONTACT_BEYOND;
-        let held = move |since: Time| self.now.since(since) >= contact && self.now >= since;
-        let is_stable = held(self.store.available_since);
+        let min_time = self.staleness_limit + RECOVERY_MARGIN;
+        let is_recovered =
+            move |since: Time| self.now.since(since) >= min_time && self.now >= since;
+        let is_stable = is_recovered(self.store.available_since);
         self.nodes
             .iter()
-            .filter(move |n| is_stable && held(n.healthy_since))
+            .filter(move |n| is_stable && is_recovered(n.healthy_since))
     }
 
-    /// No entry that is held to the bounds uses an upstream whose row went long ago.
+    /// Checks that no unimpaired entry routes to an upstream whose row was deleted longer ago than
+    /// the staleness limit.
+    ///
+    /// # Panics
+    ///
+    /// Panics if one does.
     pub fn check_retired(&self) {
-        let is_left = |row: &Row| {
-            let gone_at = self.store.changed_at(row.version);
-            row.value.is_none() && self.now.since(gone_at) >= self.staleness_limit
+        let is_expired = |row: &Row| {
+            let deleted_at = self.store.changed_at(row.version);
+            row.value.is_none() && self.now.since(deleted_at) >= self.staleness_limit
         };
         for n in self.unimpaired() {
-            for used in &n.routable {
-                let row = &self.store.rows[&(Table::Upstreams, used.to_string())];
+            for upstream in &n.routable {
+                let row = &self.store.rows[&(Table::Upstreams, upstream.to_string())];
                 assert!(
-                    !is_left(row),
-                    "{} uses {used} at {:?}, gone at {:?} with version {} of {} known; reads {:?} of {:?}",
+                    !is_expired(row),
+                    "{} routes to {upstream} at {:?}, which was deleted at {:?} with version {}, at version {}; subscription {:?}, sources {:?}",
                     n.peer.name,
                     self.now,
                     self.store.changed_at(row.version),
@@ -71,7 +85,11 @@
         }
     }
 
-    /// Whoever has been without impairment for long knows what was changed long ago.
+    /// Checks that every unimpaired entry has received all changes older than the staleness limit.
+    ///
+    /// # Panics
+    ///
+    /// Panics if one has not.
     pub fn check_staleness(&self) {
         for n in self.unimpaired() {
             for table in [Table::Operator, Table::Progress, Table::Upstreams] {
@@ -84,7 +102,7 @@
                 let known = n.mirror.stamp(table);
                 assert!(
                     known >= Stamp::new(self.store.era, *version),
-                    "{} at {:?} does not know {table:?} {version} of {:?} but {known}; reads {:?} of {:?}",
+                    "{} at {:?} lacks version {version} of {table:?} from {:?} and is at {known}; subscription {:?}, sources {:?}",
                     n.peer.name,
                     self.now,
                     at,
--- a/crates/sim/src/faults.rs
+++ b/crates/sim/src/faults.rs
@@ -1,4 +1,4 @@
-//! What changes and what fails at random in a schedule.
+//! Random changes of the store and random faults.
 
 use crate::world::{upstream, Poll, World};
 use rand::RngExt;
@@ -7,7 +7,7 @@
 use sorreldeck_platform::Table;
 
 impl World {
-    /// Changes something at the store.
+    /// Makes a random change in the store: to a row of an upstream, or to a numbered row.
     pub fn change(&mut self) {
         let number = self.rng.random_range(0..6);
         if self.rng.random_bool(0.3) {
@@ -26,7 +26,7 @@
         self.store.put(table, &key, value, self.now);
     }
 
-    /// Impairs something for some seconds.
+    /// Injects a random fault into some entries, all links or the store for up to 7 s.
     pub fn impair(&mut self) {
         let until = self.now + Span::from_millis(self.rng.random_range(300..7_000));
         let share = [0.05, 0.3, 0.9][self.rng.random_range(0..3)];
@@ -34,10 +34,10 @@
         if kind >= 7 {
             return self.impair_all(kind, until);
         }
-        let readers = kind == 5;
+        let targets_readers = kind == 5;
         for node in 0..self.nodes.len() {
-            let reads = self.nodes[node].subscription == Subscription::All;
-            if !(readers && reads || self.rng.random_bool(share)) {
+            let is_reader = self.nodes[node].subscription == Subscription::All;
+            if !(targets_readers && is_reader || self.rng.random_bool(share)) {
                 continue;
             }
             match kind {
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Lets some of an entry's calls of the store hang on connections that are dead.
+    /// Turns the connections of some of an entry's pending calls of the store into dead ones, on
+    /// which the calls hang.
     pub fn kill_connections(&mut self, node: usize) {
         let share = [0.3, 1.0][self.rng.random_range(0..2)];
         for poll in &mut self.nodes[node].polls {
@@ -67,42 +68,43 @@
         }
     }
 
-    /// Lets the store forget its history: waits under way are told, and those that begin
-    /// soon after hear nothing until their own end.
+    /// Makes the store lose its history of changes. Pending long polls end, and those that start
+    /// soon after are not notified of changes until they end.
     pub fn compact(&mut self) {
         let until = self.now + Span::from_millis(self.rng.random_range(0..1_200));
         self.store.compacted_to = self.store.version;
         self.store.feed_stalled_until = until;
         self.store.available_since = self.store.available_since.max(until);
-        self.break_off_waits();
+        self.end_long_polls();
     }
 
-    /// Ends all waits at the store but for those on dead connections.
-    fn break_off_waits(&mut self) {
+    /// Ends all pending long polls at the store except those on dead connections.
+    fn end_long_polls(&mut self) {
         let polls = self.nodes.iter_mut().flat_map(|node| &mut node.polls);
         for poll in polls.filter(|poll| !poll.is_dead) {
             *poll = Poll::default();
         }
     }
 
-    /// Lets the store come back from a copy that is some seconds old. The operator and the
-    /// upstreams write again what they wrote, each at a time of its own; some never do.
+    /// Restores the store from a backup that is some seconds old. The operator and the upstreams
+    /// write each lost row again at a random time; some upstreams never do.
     pub fn restore(&mut self, back: Time) {
-        let copies = self.store.backups.len();
-        if copies == 0 {
+        let backups = self.store.backups.len();
+        if backups == 0 {
             return;
         }
-        let copy = self.store.backups[self.rng.random_range(0..copies)].clone();
+        let backup = self.store.backups[self.rng.random_range(0..backups)].clone();
         self.store.is_hanging = self.rng.random_bool(0.5);
-        for (table, row) in self.store.restore(copy, back) {
+        for (table, row) in self.store.restore(backup, back) {
             let after = Span::from_millis(self.rng.random_range(0..3_000));
             if table != Table::Upstreams || self.rng.random_bool(0.9) {
                 self.store.schedule_rewrite(back + after, table, row);
             }
         }
-        self.break_off_waits();
+        self.end_long_polls();
     }
 
+    /// Injects a fault that affects the store or all links.
     pub fn impair_all(&mut self, kind: usize, until: Time) {
         match kind {
             7 => {
@@ -113,7 +115,7 @@
             8 => self.compact(),
             11 | 12 => self.restore(until),
             9 => {
-                // All open links at once, while new ones work.
+                // All open links go silent, while new ones work.
                 self.blackholed.extend(self.links.keys());
                 let now = self.now;
                 for node in &mut self.nodes {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Only those that read: killed, frozen or cut off, while all others are well.
+    /// Injects a random fault into all entries that read the whole store, and into no others.
     pub fn impair_readers(&mut self) {
         let until = self.now + Span::from_millis(self.rng.random_range(2_000..9_000));
         let kind = self.rng.random_range(0..5);
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,8 +1,9 @@
-//! Entries, their links and the platform's store in simulated time, without a socket: for tests of
-//! how tables go from the store to all entries, and for experiments.
+//! A simulation of entries, their links and the platform's store in simulated time, without
+//! sockets, for tests of the replication of tables from the store to all entries and for
+//! experiments.
 //!
-//! The entries decide with the code of the daemon ([`Relay`](sorreldeckd::hosted::Relay) and
-//! [`Mirror`](sorreldeckd::hosted::Mirror)); what stands around them is played.
+//! The entries run the daemon's code ([`Relay`](sorreldeckd::hosted::Relay) and
+//! [`Mirror`](sorreldeckd::hosted::Mirror)); their environment is simulated.
 //!
 //! ```
 //! use sorreldeck_sim::World;
--- a/crates/sim/src/rows.rs
+++ b/crates/sim/src/rows.rs
@@ -1,9 +1,9 @@
-//! Rows of the platform's store, as its writers write them.
+//! Rows of the platform's store in the format of their writers.
 
 use serde_json::{json, Value};
 use sorreldeck_platform::store::Row;
 
-/// Returns a row.
+/// Returns a row with a value.
 pub fn row(key: &str, value: &Value, version: u64) -> Row {
     Row {
         key: key.to_owned(),
@@ -12,7 +12,7 @@
     }
 }
 
-/// Returns a row that was dropped.
+/// Returns a deleted row.
 pub fn deleted(key: &str, version: u64) -> Row {
     Row {
         key: key.to_owned(),
@@ -21,13 +21,13 @@
     }
 }
 
-/// Returns what an upstream writes of itself in a state.
+/// Returns the registration of an upstream in a state.
 pub fn upstream(state: &str) -> Value {
     json!({"service": "engines", "address": "127.0.0.1:9", "zone": "a", "version": "v1", "slots": 8,
         "state": state, "cold-left-ms": 0, "sequence": 1})
 }
 
-/// Returns a configuration without a route.
+/// Returns a configuration without routes.
 pub fn config(revision: u64) -> Value {
     json!({"version": revision, "routes": [], "services": [], "tenants": [],
         "limits": {"max-header-bytes": 16384, "max-body-bytes": 100_000,
--- a/crates/sim/src/store.rs
+++ b/crates/sim/src/store.rs
@@ -1,4 +1,5 @@
-//! The platform's store: rows, their changes, and copies from which it comes back.
+//! The simulated store of the platform, with its change history and the backups that it is restored
+//! from.
 
 use sorreldeck::era::Era;
 use sorreldeck::{Span, Time};
@@ -7,14 +8,14 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How often the store is copied, and how many of its copies are kept.
-const COPY_EVERY: Span = Span::from_millis(500);
-const COPIES: usize = 16;
+/// Interval between two backups, and the number of backups kept.
+const BACKUP_INTERVAL: Span = Span::from_millis(500);
+const MAX_BACKUPS: usize = 16;
 
 /// Rows by table and key.
 pub type Rows = BTreeMap<(Table, String), Row>;
 
-/// A state of the store that it may come back from.
+/// A backup that the store may be restored from.
 #[derive(Clone)]
 pub struct Backup {
     pub at: Time,
@@ -31,20 +32,27 @@
     /// The changes of this era.
     pub changes: Vec<(Time, Table, u64)>,
     pub backups: VecDeque<Backup>,
-    /// What was lost and is written again by those who wrote it, unless they change it before.
+    /// Rows lost in a restore, with the time at which their writers write them again unless they
+    /// change them before.
     pub pending_rewrites: Vec<(Time, Table, Row)>,
+    /// The version before which the history of changes is no longer available.
     pub compacted_to: u64,
+    /// The number of calls received.
     pub calls: u64,
-    /// The changes that were ever made by [`World::change`].
+    /// The number of numbered changes made by [`World`](crate::World).
     pub change_count: u64,
+    /// The store is down until this time.
     pub down_until: Time,
+    /// The end of the latest impairment of the store.
     pub available_since: Time,
+    /// Whether calls hang, instead of being refused, while the store is down.
     pub is_hanging: bool,
-    /// Waits that begin before then hear nothing until their own end.
+    /// Long polls that start before this time are not notified of changes until they end.
     pub feed_stalled_until: Time,
 }
 
 impl Store {
+    /// Writes a row, or deletes it if `value` is `None`.
     pub fn put(&mut self, table: Table, key: &str, value: Option<Vec<u8>>, now: Time) {
         self.version += 1;
         let row = Row {
@@ -58,17 +66,18 @@
             .retain(|(_, t, r)| (*t, r.key.as_str()) != (table, key));
     }
 
-    /// Returns when the change was made that got a version, or was copied with it.
+    /// Returns the time of the change with a version, or the time since which the store is available
+    /// if the change came with the backup.
     pub fn changed_at(&self, version: u64) -> Time {
         let mut changes = self.changes.iter().rev();
         let change = changes.find(|(_, _, v)| *v == version);
         change.map_or(self.available_since, |(at, ..)| *at)
     }
 
-    /// Takes a copy now and then.
+    /// Takes a backup if the interval has passed.
     pub fn back_up(&mut self, now: Time) {
-        let last = self.backups.back().map(|copy| copy.at);
-        if last.is_some_and(|at| now.since(at) < COPY_EVERY) {
+        let last = self.backups.back().map(|backup| backup.at);
+        if last.is_some_and(|at| now.since(at) < BACKUP_INTERVAL) {
             return;
         }
         self.backups.push_back(Backup {
@@ -76,54 +85,58 @@
             version: self.version,
             rows: self.rows.clone(),
         });
-        if self.backups.len() > COPIES {
+        if self.backups.len() > MAX_BACKUPS {
             self.backups.pop_front();
         }
     }
 
-    /// Comes back from a copy at a time; returns the rows that are lost, as they stood last.
-    pub fn restore(&mut self, copy: Backup, back: Time) -> Vec<(Table, Row)> {
-        let rows = std::mem::replace(&mut self.rows, copy.rows);
-        self.version = copy.version;
-        self.compacted_to = copy.version;
+    /// Restores a backup, so that the store is available again at `back`; returns the last state of
+    /// the lost rows.
+    pub fn restore(&mut self, backup: Backup, back: Time) -> Vec<(Table, Row)> {
+        let rows = std::mem::replace(&mut self.rows, backup.rows);
+        self.version = backup.version;
+        self.compacted_to = backup.version;
         self.era = Era(self.era.0 + 1);
         self.changes.clear();
         self.down_until = back;
         self.available_since = self.available_since.max(back);
         self.backups.clear();
-        let is_lost = |place: &(Table, String), row: &Row| {
-            let copied = self.rows.get(place);
+        let is_lost = |key: &(Table, String), row: &Row| {
+            let copied = self.rows.get(key);
             copied.is_none_or(|copied| copied.version != row.version)
         };
-        let lost = rows.into_iter().filter(|(place, row)| is_lost(place, row));
+        let lost = rows.into_iter().filter(|(key, row)| is_lost(key, row));
         lost.map(|((table, _), row)| (table, row)).collect()
     }
 
-    /// Writes again what is due.
+    /// Writes the lost rows again whose time has come.
     pub fn rewrite(&mut self, now: Time) {
-        let again = std::mem::take(&mut self.pending_rewrites).into_iter();
-        let (due, later): (Vec<_>, Vec<_>) = again.partition(|(at, ..)| now >= *at);
+        let rewrites = std::mem::take(&mut self.pending_rewrites).into_iter();
+        let (due, later): (Vec<_>, Vec<_>) = rewrites.partition(|(at, ..)| now >= *at);
         self.pending_rewrites = later;
         for (_, table, row) in due {
             self.put(table, &row.key, row.value, now);
         }
     }
 
-    /// Notes that a row is to be written again at a time.
+    /// Schedules the time at which a lost row is written again.
     pub fn schedule_rewrite(&mut self, at: Time, table: Table, row: Row) {
         self.pending_rewrites
             .retain(|(_, t, r)| (*t, &r.key) != (table, &row.key));
         self.pending_rewrites.push((at, table, row));
     }
 
+    /// Returns the version of the latest change of a table.
     pub fn newest_version(&self, table: Table) -> u64 {
         let of = self.rows.iter().filter(|((t, _), _)| *t == table);
         of.map(|(_, row)| row.version).max().unwrap_or(0)
     }
 
+    /// Returns the changes of a table after a version, or all its rows where these are not
+    /// available, and whether it returns all rows.
     pub fn page(&self, table: Table, since: Option<u64>, now: Time) -> (Page, bool) {
-        let is_had = |v: &u64| (self.compacted_to..=self.version).contains(v);
-        let since = since.filter(is_had);
+        let is_available = |v: &u64| (self.compacted_to..=self.version).contains(v);
+        let since = since.filter(is_available);
         let of = self.rows.iter().filter(|((t, _), _)| *t == table);
         let rows = of.map(|(_, row)| row.clone()).filter(|row| match since {
             Some(version) => row.version > version,
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,4 +1,4 @@
-//! Entries, their links and a store, and what is checked at each step.
+//! The simulated world: entries, the links between them and a store.
 
 use crate::check::change_number;
 use crate::rows;
@@ -17,25 +17,27 @@
 use sorreldeckd::hosted::{Command, Mirror, Relay, Update};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The times within which a change must be known, as installations of some three, 30 and 100
-/// entries set them.
+/// Times within which all entries must receive a change, as set in installations of about 3, 30
+/// and 100 entries.
 pub const STALENESS_LIMITS: [Span; 3] = [
     Span::from_millis(2_000),
     Span::from_millis(3_000),
     Span::from_millis(4_000),
 ];
+/// The time of a simulation step.
 pub const TICK: Span = Span::from_millis(20);
-/// The key of the operator's row that stands for the configuration.
+/// The key of the operator's row that represents the configuration.
 const CONFIGURATION: &str = "x-0";
-/// How long the tables besides the operator's are waited on.
+/// Duration of a long poll on the tables other than the operator's.
 pub const OTHER_POLL_WAIT: Span = Span::from_millis(20_000);
-/// The upstreams that come and go: so many that those which leave at the same time are few of
-/// them, since half of all that go at once are taken for lapsed leases.
+/// Number of upstreams that register and retire. It is so large that only a small part retires at
+/// the same time: if half of all rows are deleted at once, entries assume lapsed leases.
 pub const UPSTREAMS: u64 = 30;
-/// How long a call hangs beyond its wait before it is given up.
+/// Time beyond the duration of a long poll after which a hanging call is abandoned.
 pub const CALL_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// Returns how long changes of a table are gathered before the next are waited for.
+/// Returns the pause after an answer, during which changes of a table accumulate before the next
+/// long poll.
 pub fn batch_delay(table: Table) -> Span {
     Span::from_millis(match table {
         Table::Operator | Table::Progress => 250,
@@ -44,47 +46,56 @@
     })
 }
 
-/// What an entry waits for at the store.
+/// The state of an entry's long poll on a table of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Poll {
-    /// Since when; `None` while nothing is asked.
+    /// The start of the pending call, if any.
     pub since: Option<Time>,
+    /// No call starts before this time.
     pub pause_until: Time,
-    /// Whether the store has answered since the reading began.
+    /// Whether the store has answered since the table was subscribed to.
     pub answered: bool,
+    /// 1 after a failed call, 0 otherwise.
     pub failures: u32,
-    /// Whether the wait hears nothing until its own end.
+    /// Whether the call is not notified of changes until it ends.
     pub is_stalled: bool,
-    /// Whether its connection is dead, so that it is never answered.
+    /// Whether the connection is dead, so that the call is never answered.
     pub is_dead: bool,
 }
 
+/// An entry and its faults.
 pub struct Node {
     pub peer: Peer,
     pub relay: Relay,
     pub mirror: Mirror,
+    /// The tables that the entry reads from the store.
     pub subscription: Subscription,
+    /// The long polls by table.
     pub polls: [Poll; 4],
-    /// Not running before.
+    /// The entry is not running until this time.
     pub down_until: Time,
-    /// Running, but standing still until then.
+    /// The entry's process is suspended until this time.
     pub frozen_until: Time,
+    /// The entry has no connection to other entries until this time.
     pub partitioned_until: Time,
-    /// Not reached by the store until then.
+    /// The entry cannot reach the store until this time.
     pub store_unreachable_until: Time,
+    /// The end of the latest fault of the entry.
     pub healthy_since: Time,
-    /// The sessions that it was told of.
+    /// The sessions of which an affinity was received.
     pub affinities: BTreeSet<u64>,
-    /// What was told of requests under which upstreams crashed.
+    /// The updates received on requests that crashed upstreams.
     pub quarantine_updates: Vec<quarantine::Update>,
+    /// The updates received on notices of upstreams.
     pub notices: Vec<notice::Update>,
-    /// The number of the latest change that was seen of each row in this life.
+    /// The number of the latest change seen of each row since the entry's start.
     pub latest_changes: BTreeMap<(Table, String), u64>,
-    /// The upstreams that may get requests.
+    /// The upstreams that may receive requests.
     pub routable: BTreeSet<UpstreamId>,
 }
 
 impl Node {
+    /// Creates an entry without faults.
     pub fn new(peer: Peer, limit: Span) -> Node {
         Node {
             relay: Relay::new(peer.clone(), Timeouts::of(limit)),
@@ -105,72 +116,86 @@
         }
     }
 
+    /// Returns whether the process exists, suspended or not.
     pub fn is_up(&self, now: Time) -> bool {
         now >= self.down_until
     }
 
-    /// Returns the number of the configuration that it has in force.
+    /// Returns the number of the configuration in effect, 0 if none is.
     pub fn config_number(&self) -> u64 {
         let row = self.mirror.row(Table::Operator, CONFIGURATION);
         row.map_or(0, change_number)
     }
 
+    /// Returns whether the process exists and is not suspended.
     pub fn is_running(&self, now: Time) -> bool {
         self.is_up(now) && now >= self.frozen_until
     }
 
+    /// Records that a fault of the entry lasts until a time.
     pub fn mark_impaired(&mut self, until: Time) {
         self.healthy_since = self.healthy_since.max(until);
     }
 }
 
-/// One end of a link: the entry, and the number that it knows the link by.
+/// One end of a link: the entry and its number for the link.
 pub type End = (usize, Link);
 
+/// An event that reaches an entry.
 pub enum Event {
+    /// An attempt to open a link ended; without a link, it failed.
     Opened(usize, InstanceId, Option<(Link, End)>),
+    /// A frame arrived at an end of a link.
     Frame(End, Box<Frame>),
+    /// The other end closed the link.
     Closed(End),
 }
 
+/// Entries, their links and a store in simulated time.
 pub struct World {
-    /// The time within which a change must be known.
+    /// The time within which all entries must receive a change.
     pub staleness_limit: Span,
-    /// The upstreams that come and go.
+    /// The number of upstreams that register and retire.
     pub upstreams: u64,
+    /// The source of all random decisions.
     pub rng: ChaCha8Rng,
+    /// The simulated time.
     pub now: Time,
     pub store: Store,
     pub nodes: Vec<Node>,
     /// The other end of each link.
     pub links: BTreeMap<End, End>,
-    /// The ends of links that went silent for good, without a reset.
+    /// The ends of links that have permanently stopped transmitting without a reset.
     pub blackholed: BTreeSet<End>,
+    /// The pending events by time and number.
     pub events: BTreeMap<(Time, u64), Event>,
-    /// The share of links over which messages take longer.
+    /// The share of links with an additional delay.
     pub slow_link_share: f64,
-    /// What messages take longer over some links than over others.
+    /// The additional delay of each end of a slow link.
     pub delays: BTreeMap<End, Span>,
-    /// When the last message to an end arrives: they do not overtake each other.
+    /// The arrival time of the last message to each end, since messages do not overtake each other.
     pub last_arrival: BTreeMap<End, Time>,
+    /// The number of the next end of a link.
     pub next_link: Link,
+    /// The number of the last event scheduled.
     pub last_event_number: u64,
-    /// Messages that take longer than usual until then.
+    /// All messages are delayed until this time.
     pub slow_until: Time,
-    /// The bytes that went from one data hall to another.
+    /// The bytes sent between data halls.
     pub cross_hall_bytes: u64,
-    /// The bytes that each entry sent.
+    /// The bytes sent by each entry.
     pub sent_bytes: Vec<u64>,
-    /// The tables of upstreams that were sent whole, and those among them to another hall.
+    /// The number of complete tables of upstreams sent, and of those sent to another data hall.
     pub full_tables: (u64, u64),
 }
 
 impl World {
+    /// Creates a world with the longest of [`STALENESS_LIMITS`].
     pub fn new(seed: u64, halls: usize, entries: usize) -> World {
         World::within(STALENESS_LIMITS[2], seed, halls, entries)
     }
 
-    /// Creates a world in which changes must be known within a time.
+    /// Creates a world in which all entries must receive a change within `limit`.
     pub fn within(limit: Span, seed: u64, halls: usize, entries: usize) -> World {
         let mut world = World {
             staleness_limit: limit,
@@ -211,6 +236,7 @@
         world
     }
 
+    /// Registers all upstreams.
     pub fn put_upstreams(&mut self) {
         for row in (0..self.upstreams).map(|number| upstream(number, 0)) {
             self.store
@@ -218,7 +244,7 @@
         }
     }
 
-    /// Writes another configuration; returns its number.
+    /// Writes a new configuration; returns its number.
     pub fn configure(&mut self) -> u64 {
         self.store.change_count += 1;
         let number = 1 + self.store.change_count;
@@ -228,22 +254,26 @@
         number
     }
 
+    /// Returns a random delay of a message.
     pub fn delay(&mut self) -> Span {
         let slow = self.now < self.slow_until;
-        let most = if slow { 250_000 } else { 3_000 };
-        Span::from_micros(self.rng.random_range(500..most))
+        let max = if slow { 250_000 } else { 3_000 };
+        Span::from_micros(self.rng.random_range(500..max))
     }
 
+    /// Schedules an event.
     pub fn schedule(&mut self, time: Time, event: Event) {
         self.last_event_number += 1;
         self.events.insert((time, self.last_event_number), event);
     }
 
+    /// Returns whether neither of two entries is partitioned.
     pub fn reaches(&self, from: usize, to: usize) -> bool {
-        let cut = |n: &Node| self.now < n.partitioned_until;
-        !cut(&self.nodes[from]) && !cut(&self.nodes[to])
+        let is_partitioned = |n: &Node| self.now < n.partitioned_until;
+        !is_partitioned(&self.nodes[from]) && !is_partitioned(&self.nodes[to])
     }
 
+    /// Sends a frame over a link. In 5% of all cases it arrives a second time, late.
     pub fn send(&mut self, from: End, frame: Frame) {
         let Some(to) = self.links.get(&from).copied() else {
             return;
@@ -253,16 +283,16 @@
         }
         let bytes = wire::encode(std::slice::from_ref(&frame)).len() as u64;
         self.sent_bytes[from.0] += bytes;
-        let crosses = self.nodes[from.0].peer.hall != self.nodes[to.0].peer.hall;
-        if crosses {
+        let is_cross_hall = self.nodes[from.0].peer.hall != self.nodes[to.0].peer.hall;
+        if is_cross_hall {
             self.cross_hall_bytes += bytes;
         }
-        if is_whole(&frame) {
+        if is_full_table(&frame) {
             self.full_tables.0 += 1;
-            self.full_tables.1 += u64::from(crosses);
+            self.full_tables.1 += u64::from(is_cross_hall);
         }
-        let own = self.delays.get(&from).copied().unwrap_or_default();
-        let due = self.now + self.delay() + own;
+        let extra = self.delays.get(&from).copied().unwrap_or_default();
+        let due = self.now + self.delay() + extra;
         let last = self.last_arrival.entry(to).or_default();
         let due = due.max(*last);
         *last = due;
@@ -273,16 +303,18 @@
         self.schedule(due, Event::Frame(to, Box::new(frame)));
     }
 
-    pub fn execute(&mut self, node: usize, orders: Vec<Command>) {
-        for order in orders {
-            match order {
+    /// Executes the commands of an entry's relay.
+    pub fn execute(&mut self, node: usize, commands: Vec<Command>) {
+        for command in commands {
+            match command {
                 Command::Open(name, _) => self.open(node, name),
                 Command::Close(link) => self.close((node, link)),
                 Command::Send(link, frame) => self.send((node, link), frame),
-                Command::Read(reading) => {
-                    let before = std::mem::replace(&mut self.nodes[node].subscription, reading);
+                Command::Read(subscription) => {
+                    let before =
+                        std::mem::replace(&mut self.nodes[node].subscription, subscription);
                     for (poll, table) in self.nodes[node].polls.iter_mut().zip(Table::ALL) {
-                        if !is_read(reading, table) || before == Subscription::Entries {
+                        if !is_read(subscription, table) || before == Subscription::Entries {
                             *poll = Poll::default();
                         }
                     }
@@ -290,20 +322,21 @@
                 Command::Poll(table) => {
                     self.nodes[node].polls[table as usize] = Poll::default();
                 }
-                Command::Affinity(stay) => drop(self.nodes[node].affinities.insert(stay.session)),
-                Command::Quarantine(word) => self.nodes[node].quarantine_updates.push(word),
-                Command::Notice(word) => self.nodes[node].notices.push(word),
+                Command::Affinity(new) => drop(self.nodes[node].affinities.insert(new.session)),
+                Command::Quarantine(update) => self.nodes[node].quarantine_updates.push(update),
+                Command::Notice(update) => self.nodes[node].notices.push(update),
                 Command::Report(..) | Command::Prefill(..) => {}
             }
         }
     }
 
+    /// Starts to open a link to the entry with a name.
     pub fn open(&mut self, node: usize, name: InstanceId) {
         let to = self.nodes.iter().position(|n| n.peer.name == name).unwrap();
         let back = self.delay() + self.delay();
         let is_there = self.nodes[to].is_up(self.now) && self.reaches(node, to);
         if !is_there {
-            // A dead port refuses; behind a cut nothing answers.
+            // A closed port refuses the connection; across a partition the attempt times out.
             let after = match self.reaches(node, to) {
                 true => back,
                 false => Span::from_millis(500),
@@ -320,6 +353,7 @@
         self.schedule(self.now + back, Event::Opened(node, name, Some((a.1, b))));
     }
 
+    /// Closes a link; the other end learns of it unless the link is blackholed.
     pub fn close(&mut self, end: End) {
         if let Some(other) = self.links.remove(&end) {
             if self.blackholed.contains(&end) {
@@ -331,6 +365,7 @@
         }
     }
 
+    /// Delivers an event, or postpones it while the entry is suspended.
     pub fn deliver(&mut self, event: Event) {
         let (now, frozen) = (self.now, self.is_frozen(&event));
         if frozen {
@@ -347,21 +382,21 @@
                     link
                 });
                 let n = &mut self.nodes[node];
-                let orders = n.relay.opened(name, link, &n.mirror, now);
-                self.execute(node, orders);
+                let commands = n.relay.opened(name, link, &n.mirror, now);
+                self.execute(node, commands);
             }
             Event::Frame(end, frame) => {
                 if !self.links.contains_key(&end) || !self.nodes[end.0].is_up(now) {
                     return;
                 }
                 let n = &mut self.nodes[end.0];
-                let (news, orders) = n.relay.handle_frame(end.1, *frame, &mut n.mirror, now);
+                let (updates, commands) = n.relay.handle_frame(end.1, *frame, &mut n.mirror, now);
                 self.handle_restore(end.0);
-                self.apply_updates(end.0, news);
-                self.execute(end.0, orders);
+                self.apply_updates(end.0, updates);
+                self.execute(end.0, commands);
                 let n = &mut self.nodes[end.0];
-                let orders = n.relay.publish(&mut n.mirror, now);
-                self.execute(end.0, orders);
+                let commands = n.relay.publish(&mut n.mirror, now);
+                self.execute(end.0, commands);
             }
             Event::Closed(end) => {
                 self.links.remove(&end);
@@ -370,6 +405,7 @@
         }
     }
 
+    /// Returns whether the entry that an event is for is suspended.
     pub fn is_frozen(&self, event: &Event) -> bool {
         let node = match event {
             Event::Opened(node, ..) => *node,
@@ -378,10 +414,11 @@
         self.nodes[node].is_up(self.now) && self.now < self.nodes[node].frozen_until
     }
 
-    pub fn apply_updates(&mut self, node: usize, news: Vec<Update>) {
+    /// Applies updates that an entry derived from table changes.
+    pub fn apply_updates(&mut self, node: usize, updates: Vec<Update>) {
         let node = &mut self.nodes[node];
-        for news in news {
-            match news {
+        for update in updates {
+            match update {
                 Update::Entry(peer) => node.relay.learn(peer),
                 Update::Joined(listed) => drop(node.routable.insert(listed.member.upstream)),
                 Update::Retired(upstream) => drop(node.routable.remove(&upstream)),
@@ -390,29 +427,31 @@
         }
     }
 
+    /// Kills an entry and restarts it at a time without its state.
     pub fn kill(&mut self, node: usize, until: Time) {
         let ends: Vec<End> = self.links.keys().filter(|e| e.0 == node).copied().collect();
         for end in ends {
             self.close(end);
         }
-        let mut fresh = Node::new(self.nodes[node].peer.clone(), self.staleness_limit);
-        fresh.down_until = until;
-        fresh.healthy_since = until.max(self.nodes[node].healthy_since);
-        fresh.partitioned_until = self.nodes[node].partitioned_until;
-        fresh.store_unreachable_until = self.nodes[node].store_unreachable_until;
-        self.nodes[node] = fresh;
+        let mut restarted = Node::new(self.nodes[node].peer.clone(), self.staleness_limit);
+        restarted.down_until = until;
+        restarted.healthy_since = until.max(self.nodes[node].healthy_since);
+        restarted.partitioned_until = self.nodes[node].partitioned_until;
+        restarted.store_unreachable_until = self.nodes[node].store_unreachable_until;
+        self.nodes[node] = restarted;
     }
 
+    /// Returns whether an entry can reach the store.
     pub fn is_store_up(&self, node: usize) -> bool {
         self.now >= self.store.down_until && self.now >= self.nodes[node].store_unreachable_until
     }
 
-    /// Lets an entry call the store as its followers of the tables do.
+    /// Advances an entry's long polls as the daemon's followers of the tables do.
     pub fn poll(&mut self, node: usize) {
         for (number, table) in Table::ALL.into_iter().enumerate() {
-            let reading = self.nodes[node].subscription;
+            let subscription = self.nodes[node].subscription;
             let poll = self.nodes[node].polls[number];
-            if !is_read(reading, table) || self.now < poll.pause_until {
+            if !is_read(subscription, table) || self.now < poll.pause_until {
                 continue;
             }
             if poll.since.is_none() {
@@ -431,7 +470,7 @@
         }
     }
 
-    /// Lets a call hang on its dead connection until it is given up.
+    /// Handles a call on a dead connection, which fails after its time-out.
     pub fn hang(&mut self, node: usize, table: Table, since: Time) {
         let wait = self.wait(node, table);
         if self.now.since(since) >= wait + CALL_TIMEOUT {
@@ -439,7 +478,7 @@
         }
     }
 
-    /// Returns how long an entry waits for a change of a table.
+    /// Returns the duration of an entry's long poll on a table.
     pub fn wait(&self, node: usize, table: Table) -> Span {
         let n = &self.nodes[node];
         match table {
@@ -452,28 +491,33 @@
         }
     }
 
+    /// Answers a call if the table has changes or the long poll ends.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the entry rejects the answer as one of an earlier era.
     pub fn answer(&mut self, node: usize, table: Table, since: Time) {
         let now = self.now;
         let wait = self.wait(node, table);
         let n = &mut self.nodes[node];
         let known = n.mirror.base(table);
-        let hears = !n.polls[table as usize].is_stalled;
-        let is_news = |known| {
-            let is_had = known <= self.store.version;
-            !is_had || (hears && self.store.newest_version(table) > known)
+        let is_notified = !n.polls[table as usize].is_stalled;
+        let has_changes = |known| {
+            let is_in_history = known <= self.store.version;
+            !is_in_history || (is_notified && self.store.newest_version(table) > known)
         };
-        if !known.is_none_or(is_news) && now.since(since) < wait {
+        if !known.is_none_or(has_changes) && now.since(since) < wait {
             return;
         }
-        // What was waited for from another era is left, and the table read whole.
+        // After a change of the era, the whole table is read.
         let known = known.filter(|_| n.mirror.era() == self.store.era);
-        let (page, whole) = self.store.page(table, known, now);
-        let heard = n.mirror.observe_era(table, &page, whole, since, now);
-        assert_ne!(heard, Freshness::Stale);
+        let (page, is_full) = self.store.page(table, known, now);
+        let freshness = n.mirror.observe_era(table, &page, is_full, since, now);
+        assert_ne!(freshness, Freshness::Stale);
         self.handle_restore(node);
         let n = &mut self.nodes[node];
         if table == Table::Operator && n.polls[table as usize].failures > 0 {
-            // The others begin anew.
+            // The long polls on the other tables restart.
             n.polls = [Poll::default(); 4];
         }
         n.polls[table as usize] = Poll {
@@ -482,8 +526,8 @@
             ..Poll::default()
         };
         n.relay.note_answer(table, now);
-        let news = n.mirror.apply(table, page, whole, now);
-        self.apply_updates(node, news);
+        let updates = n.mirror.apply(table, page, is_full, now);
+        self.apply_updates(node, updates);
         let n = &mut self.nodes[node];
         if table == Table::Own {
             n.relay.listed(now);
@@ -491,11 +535,11 @@
                 n.polls[table as usize].pause_until = now + OTHER_POLL_WAIT;
             }
         }
-        let orders = n.relay.publish(&mut n.mirror, now);
-        self.execute(node, orders);
+        let commands = n.relay.publish(&mut n.mirror, now);
+        self.execute(node, commands);
     }
 
-    /// Begins all waits of an entry anew where it has just heard that the store was restored.
+    /// Restarts all long polls of an entry that has just detected a restore of the store.
     pub fn handle_restore(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if n.mirror.take_restored().is_some() {
@@ -504,17 +548,20 @@
         }
     }
 
+    /// Fails a call of the unreachable store, either at once or after the call has hung for its
+    /// time-out.
     pub fn refuse(&mut self, node: usize, table: Table, since: Time) {
         let now = self.now;
         let n = &mut self.nodes[node];
-        let silent = self.store.is_hanging || n.peer.name.as_str().len() % 2 == 0;
+        let hangs_silently = self.store.is_hanging || n.peer.name.as_str().len() % 2 == 0;
         let hangs = n.relay.follow().timeouts().long_poll + CALL_TIMEOUT;
-        if silent && now.since(since) < hangs {
+        if hangs_silently && now.since(since) < hangs {
             return;
         }
         self.fail(node, table);
     }
 
+    /// Fails a call and schedules the next one.
     pub fn fail(&mut self, node: usize, table: Table) {
         let now = self.now;
         let n = &mut self.nodes[node];
@@ -535,6 +582,11 @@
         n.relay.note_failure(table);
     }
 
+    /// Runs one step of the simulation.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a row of an entry returns to an earlier state.
     pub fn tick(&mut self) {
         self.now = self.now + TICK;
         if self.now >= self.store.down_until {
@@ -553,18 +605,18 @@
                 continue;
             }
             let (now, n) = (self.now, &mut self.nodes[node]);
-            let heard = n.relay.follow().last_sync();
-            let lapsed = n.mirror.tick(now, heard);
+            let last_sync = n.relay.follow().last_sync();
+            let lapsed = n.mirror.tick(now, last_sync);
             self.apply_updates(node, lapsed);
             let n = &mut self.nodes[node];
-            let orders = n.relay.step(&mut n.mirror, now);
-            self.execute(node, orders);
+            let commands = n.relay.step(&mut n.mirror, now);
+            self.execute(node, commands);
             self.poll(node);
             self.check_rows(node);
         }
     }
 
-    /// Lets so many steps pass.
+    /// Runs a number of steps.
     pub fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.tick();
@@ -572,8 +624,8 @@
     }
 }
 
-/// Returns whether a frame holds the whole table of upstreams.
-fn is_whole(frame: &Frame) -> bool {
+/// Returns whether a frame contains the complete table of upstreams.
+fn is_full_table(frame: &Frame) -> bool {
     let Frame::Feed(feed) = frame else {
         return false;
     };
@@ -582,8 +634,9 @@
     tables.any(|t| t.number == upstreams && t.since.is_none())
 }
 
-pub fn is_read(reading: Subscription, table: Table) -> bool {
-    match reading {
+/// Returns whether a table is read with a subscription.
+pub fn is_read(subscription: Subscription, table: Table) -> bool {
+    match subscription {
         Subscription::Nothing => false,
         Subscription::Entries => table == Table::Own,
         Subscription::Operator => table == Table::Operator,
@@ -591,7 +644,7 @@
     }
 }
 
-/// Returns the row of an upstream that is ready.
+/// Returns the row of a ready upstream.
 pub fn upstream(number: u64, version: u64) -> Row {
     rows::row(&format!("i-{number}"), &rows::upstream("ready"), version)
 }
