--- a/crates/daemon/src/hosted/client.rs
+++ b/crates/daemon/src/hosted/client.rs
@@ -207,7 +207,7 @@
     async fn read_head(&self, response: Response<Incoming>) -> Result<Answer, Failure> {
         let status = response.status().as_u16();
         let headers = h1::headers_of(response.headers());
-        let head = call::told(status, &headers);
+        let head = call::parse_response(status, &headers);
         let metadata = self.metadata.as_ref();
         let label = metadata.map(|o| o.label.as_str());
         let is_foreign = head.label.is_some() && head.label.as_deref() != label;
@@ -231,7 +231,7 @@
             return Err(may_have_run("a success without its receipt"));
         }
         let is_stream = metadata.is_some_and(|o| o.stream);
-        let mut headers = call::passed_back(headers);
+        let mut headers = call::filter_response_headers(headers);
         if is_stream {
             headers.retain(|h| h.name != "content-length");
         }
@@ -285,7 +285,7 @@
         };
         let rest = pending.split_off(end + 2);
         let data = std::mem::replace(pending, rest);
-        let last_event = call::last_event(&data);
+        let last_event = call::last_event_id(&data);
         self.send_reply(Reply::Data { data, last_event }).await;
     }
 }
--- a/crates/daemon/src/hosted/event_loop.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -32,7 +32,7 @@
 };
 use sorreldeck_net::h1::Door;
 use sorreldeck_net::link::{Event, Outbox};
-use sorreldeck_platform::member::Listed;
+use sorreldeck_platform::member::Registration;
 use sorreldeck_platform::{Settings, Store, Table};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -193,17 +193,17 @@
         let own = Peer {
             name: settings.instance.clone(),
             hall: settings.hall.clone(),
-            address: links.address.unwrap_or(settings.ready),
+            address: links.address.unwrap_or(settings.readiness_address),
             cores: settings.cores,
-            mbps: settings.mbps,
+            mbps: settings.link_mbps,
         };
-        let bounds = Timeouts::of(settings.in_force);
+        let bounds = Timeouts::of(settings.config_deadline);
         let send = shared.send.clone();
         let duties = Duties::new(settings, shared.incarnation, store.clone(), send);
         decisions.reports_starts = duties.is_some();
         let mut relay = Relay::new(own.clone(), bounds);
         if let Some(duty) = settings.duties.filter(|_| duties.is_some()) {
-            relay.enable_usage(Tally::new(shared.incarnation, duty.window));
+            relay.enable_usage(Tally::new(shared.incarnation, duty.report_window));
         }
         let starts = settings.first_start.then_some(FIRST_START_WAIT);
         EventLoop {
@@ -782,7 +782,7 @@
         self.handle(Input::Tree(Arc::new(config.tree)));
     }
 
-    fn join(&mut self, mut listed: Listed, from: &str) {
+    fn join(&mut self, mut listed: Registration, from: &str) {
         // If the row has no incarnation, the address stands for it, so that notices of one
         // incarnation are not attributed to another.
         let incarnation = &mut listed.member.placement.incarnation;
--- a/crates/daemon/src/hosted/followers.rs
+++ b/crates/daemon/src/hosted/followers.rs
@@ -367,7 +367,7 @@
             self.store.reconnect().await;
             let call = self.call(Duration::ZERO);
             let answer = async_std::future::timeout(EXTRA_CALL_TIMEOUT, call).await;
-            if let Ok(answer @ (Ok(_) | Err(Trouble::Forgotten))) = answer {
+            if let Ok(answer @ (Ok(_) | Err(Trouble::HistoryLost))) = answer {
                 return answer;
             }
             task::sleep(EXTRA_CALL_PAUSE).await;
@@ -388,7 +388,7 @@
         let page = self.store.follow(self.table, base.version, wait).await?;
         // Versions of another era say nothing about the changes after this one.
         if page.era.is_some_and(|era| era != base.era) {
-            return Err(Trouble::Forgotten);
+            return Err(Trouble::HistoryLost);
         }
         let whole = false;
         Ok(Read {
@@ -421,7 +421,7 @@
                 }
                 Outcome::Page(read)
             }
-            Err(Trouble::Forgotten) => {
+            Err(Trouble::HistoryLost) => {
                 let mirrored = self.base().unwrap_or_default();
                 self.version = None;
                 let pause = pause_after(self.times_forgotten);
--- a/crates/daemon/src/hosted/mirror/upstreams.rs
+++ b/crates/daemon/src/hosted/mirror/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::{Mirror, Suspects, Update};
 use sorreldeck::{Incarnation, Span, Time};
-use sorreldeck_platform::member::{self, Listed};
+use sorreldeck_platform::member::{self, Registration};
 use sorreldeck_platform::Table;
 use std::net::SocketAddr;
 
@@ -96,7 +96,7 @@
     /// Applies the row of an upstream. A newer incarnation under the same name is a different
     /// upstream: it has no state of the former one, and existing runs and connections belong to
     /// the former one. A row of an older incarnation that arrives late is ignored.
-    pub(super) fn apply_row(&mut self, id: &str, listed: Listed) -> Vec<Update> {
+    pub(super) fn apply_row(&mut self, id: &str, listed: Registration) -> Vec<Update> {
         let latest = self.incarnations.get(id).copied();
         let incarnation = listed.member.placement.incarnation.or(latest);
         if incarnation < latest {
@@ -112,8 +112,8 @@
         if listed.leaving {
             return self.retire(id).into_iter().collect();
         }
-        let cold = Update::Cold(listed.member.upstream.clone(), listed.cold);
-        let cold = (listed.cold > Span::default()).then_some(cold);
+        let cold = Update::Cold(listed.member.upstream.clone(), listed.cold_left);
+        let cold = (listed.cold_left > Span::default()).then_some(cold);
         if known == Some(identity) {
             return cold.into_iter().collect();
         }
--- a/crates/daemon/src/hosted/peer.rs
+++ b/crates/daemon/src/hosted/peer.rs
@@ -84,7 +84,7 @@
     pub fn new(keys: Keys, settings: &Settings, events: Sender<Event>) -> Peering {
         Peering {
             keys,
-            own_address: settings.links,
+            own_address: settings.link_address,
             addresses: BTreeMap::new(),
             seeds: settings.seeds.clone(),
             next_peer: usize::from(clock::random::<1>()[0]),
