--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what sorreldeck serves and is served by: model engines, plain
-//! services and the platform. They are small models with switches for faults,
-//! for the standalone role, the tests and the experiments.
+//! Emulates the upstreams and the platform of sorreldeck: model engines, plain services, and the
+//! platform's services. Faults can be injected. Used by the standalone role, tests and
+//! experiments.
 
 pub mod crash;
 pub mod engine;
@@ -20,11 +20,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Opens a listener on a loopback port that the system chooses.
+/// Opens a listener on a free loopback port.
 ///
 /// # Errors
 ///
-/// Fails when no port is free.
+/// Returns an error if no port can be bound.
 pub async fn listen() -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
--- a/crates/emulator/src/plain.rs
+++ b/crates/emulator/src/plain.rs
@@ -1,5 +1,4 @@
-//! A plain service: it answers every call with what the call was, and counts
-//! the calls by the key that they carry.
+//! An emulated plain service that echoes every call and counts calls by the key in a header.
 //!
 //! ```
 //! use sorreldeck_emulator::Plain;
@@ -23,46 +22,50 @@
 use std::time::Duration;
 use tide::{Body, Request, Response};
 
-/// The header by whose value calls are counted.
+/// The header whose value calls are counted by.
 pub const KEY_HEADER: &str = "x-entry-key";
 
-/// A plain service; copies are the same service.
+/// An emulated plain service; clones share its state.
 #[derive(Clone)]
 pub struct Plain(Arc<Shared>);
 
 struct Shared {
     name: String,
-    time: Duration,
-    ran: Mutex<BTreeMap<String, u32>>,
+    delay: Duration,
+    runs: Mutex<BTreeMap<String, u32>>,
 }
 
 impl Plain {
-    /// Creates a service that takes a time for each call.
-    pub fn new(name: &str, time: Duration) -> Plain {
+    /// Creates a service that answers each call after a delay.
+    pub fn new(name: &str, delay: Duration) -> Plain {
         Plain(Arc::new(Shared {
             name: name.to_owned(),
-            time,
-            ran: Mutex::default(),
+            delay,
+            runs: Mutex::default(),
         }))
     }
 
-    /// Returns how often each key was called.
+    /// Returns the number of calls by key.
     pub fn runs(&self) -> BTreeMap<String, u32> {
-        self.0.ran.lock().unwrap_or_else(|e| e.into_inner()).clone()
+        self.0
+            .runs
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .clone()
     }
 
-    /// Serves on a loopback port that the system chooses.
+    /// Starts the server on a free loopback port.
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Returns an error if no port can be bound.
     pub async fn serve(&self) -> io::Result<SocketAddr> {
         let (listener, address) = crate::listen().await?;
         self.serve_on(listener);
         Ok(address)
     }
 
-    /// Serves on a listener.
+    /// Starts the server on a listener.
     pub fn serve_on(&self, listener: async_std::net::TcpListener) {
         let mut app = tide::with_state(self.clone());
         app.at("/").all(answer);
@@ -71,8 +74,8 @@
     }
 
     fn count(&self, key: &str) {
-        let mut ran = self.0.ran.lock().unwrap_or_else(|e| e.into_inner());
-        *ran.entry(key.to_owned()).or_default() += 1;
+        let mut runs = self.0.runs.lock().unwrap_or_else(|e| e.into_inner());
+        *runs.entry(key.to_owned()).or_default() += 1;
     }
 }
 
@@ -85,7 +88,7 @@
     if let Some(key) = request.header(KEY_HEADER) {
         plain.count(key.as_str());
     }
-    task::sleep(plain.0.time).await;
+    task::sleep(plain.0.delay).await;
     let text = text_of(
         &plain.0.name,
         request.method().as_ref(),
@@ -106,7 +109,7 @@
     }
 }
 
-/// Returns the answer to a call.
+/// Returns the body of the answer to a call.
 pub fn text_of(service: &str, method: &str, path: &str, body: &str) -> String {
     let answer = serde_json::json!({
         "service": service,
--- a/crates/emulator/src/routed.rs
+++ b/crates/emulator/src/routed.rs
@@ -1,4 +1,4 @@
-//! Entries and routed requests as tests and experiments build them alike.
+//! Builds entries and routed requests for tests and experiments.
 //!
 //! ```
 //! use sorreldeck::{RequestId, Time};
@@ -19,7 +19,7 @@
 use sorreldeck::{Incarnation, RequestId, Revision, Span, Tree};
 use std::sync::Arc;
 
-/// Returns a call of a path, without key, session or prompt parts.
+/// Returns a routed call of a path, without session and prompt prefixes.
 pub fn routed(label: impl Into<String>, path: &str) -> Routed {
     Routed {
         label: label.into(),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns what asks an entry for a call.
+/// Returns the input that passes a routed call to an entry.
 pub fn ask(request: RequestId, key: Option<&str>, routed: Routed) -> Input {
     Input::Request(Box::new(Request {
         request,
@@ -53,13 +53,13 @@
     }))
 }
 
-/// Returns the head of an answer that tells nothing besides its status.
+/// Returns the head of an answer with a status, without a notice or load.
 pub fn head(status: u16) -> Reply {
     head_with(status, Notice::default(), None)
 }
 
-/// Returns the head of an answer in which the upstream says this of itself and of its load:
-/// what runs, what waits and how much may run.
+/// Returns the head of an answer with a notice of the upstream and its load: running requests,
+/// waiting requests and slots.
 pub fn head_with(status: u16, notice: Notice, load: Option<(u32, u32, u32)>) -> Reply {
     Reply::Head(Head {
         status,
@@ -70,20 +70,20 @@
     })
 }
 
-/// Returns an entry `eN` whose incarnation and seed are given.
+/// Returns the entry `eN`; `seed` is also its incarnation.
 pub fn entry(number: u64, seed: u64) -> Entry {
     let keys = format!("1:{}", "42".repeat(32));
-    let keys = keys.parse().expect("a legal key ring");
-    let name = format!("e{number}").parse().expect("a legal name");
+    let keys = keys.parse().expect("a valid key ring");
+    let name = format!("e{number}").parse().expect("a valid name");
     Entry::new(Settings::new(name, Incarnation(seed), keys, seed))
 }
 
 /// Returns the upstream `uN` of the pool `engines`.
-pub fn member(number: u64, place: Placement, slots: u32) -> Member {
+pub fn member(number: u64, placement: Placement, slots: u32) -> Member {
     Member {
-        upstream: format!("u{number}").parse().expect("a legal name"),
-        pool: "engines".parse().expect("a legal name"),
-        placement: place,
+        upstream: format!("u{number}").parse().expect("a valid name"),
+        pool: "engines".parse().expect("a valid name"),
+        placement,
         load: Load {
             slots,
             ..Load::default()
@@ -91,18 +91,19 @@
     }
 }
 
-/// Returns the input that puts a tree in force.
+/// Returns the input that sets the settings tree, at revision 1.
 ///
 /// # Panics
 ///
-/// Panics where the text is no legal tree.
+/// Panics if the text is not a valid tree.
 pub fn tree(text: &str) -> Input {
-    let entries = parse_toml(text).expect("the tree can be read");
-    let tree = Tree::from_entries(Revision(1), entries).expect("the tree is legal");
+    let entries = parse_toml(text).expect("the tree is valid TOML");
+    let tree = Tree::from_entries(Revision(1), entries).expect("the tree is valid");
     Input::Tree(Arc::new(tree))
 }
 
-/// Returns the text of a route of streams of the pool `engines` below `/NAME/`; `more` is added to it.
+/// Returns the settings of a streaming route to the pool `engines` below `/NAME/`; `more` is
+/// appended.
 pub fn route(name: &str, more: &str) -> String {
     format!(
         r#"
@@ -120,8 +121,8 @@
     )
 }
 
-/// Returns the input that puts a tree in force with streams of one pool, `engines`, below
-/// `/drafts/`; `more` is added to their route.
+/// Returns the input that sets a tree with a streaming route to the pool `engines` below
+/// `/drafts/`; `more` is appended to the route.
 pub fn streams(more: &str) -> Input {
     let drafts = route("drafts", more);
     tree(&format!(
--- a/crates/emulator/src/schedule.rs
+++ b/crates/emulator/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens when on a day whose time is passed by hand.
+//! A queue of events ordered by time, for simulations with virtual time.
 //!
 //! ```
 //! use sorreldeck::Time;
@@ -16,7 +16,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Events in the order of their times; those of one time in the order in which they were put in.
+/// Events ordered by time; events at the same time keep the order of insertion.
 #[derive(Debug)]
 pub struct Schedule<E> {
     queue: BinaryHeap<Reverse<(Time, u64)>>,
@@ -35,17 +35,17 @@
 }
 
 impl<E> Schedule<E> {
-    /// Puts an event in.
+    /// Inserts an event.
     pub fn push(&mut self, time: Time, event: E) {
         self.next += 1;
         self.events.insert(self.next, event);
         self.queue.push(Reverse((time, self.next)));
     }
 
-    /// Takes out the next event and its time.
+    /// Removes and returns the next event and its time.
     pub fn pop(&mut self) -> Option<(Time, E)> {
-        let Reverse((time, number)) = self.queue.pop()?;
-        let event = self.events.remove(&number)?;
+        let Reverse((time, sequence)) = self.queue.pop()?;
+        let event = self.events.remove(&sequence)?;
         Some((time, event))
     }
 }
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in behind HTTP and JSON, with its switches for faults.
+//! Serves the emulated platform over HTTP and JSON, with endpoints that inject faults.
 
 use crate::quality::{Quality, Skill};
 use crate::text;
@@ -17,7 +17,7 @@
     quality: Quality,
 }
 
-/// Serves a platform on a listener; answers are rated by their quality.
+/// Serves a platform on a listener; answers are rated by the quality of their version.
 pub fn serve_on(listener: TcpListener, memory: Arc<Memory>, quality: Quality) {
     install_rater(&memory, quality.clone());
     let mut app = tide::with_state(State { memory, quality });
@@ -83,7 +83,7 @@
     match request.state().memory.get_object(&key(&request)).await {
         Ok(Some(data)) => Ok(Response::builder(200).body(data).build()),
         Ok(None) => Ok(Response::new(404)),
-        Err(trouble) => reply::<()>(Err(trouble)),
+        Err(error) => reply::<()>(Err(error)),
     }
 }
 
--- a/crates/emulator/src/text.rs
+++ b/crates/emulator/src/text.rs
@@ -1,5 +1,5 @@
-//! The text that an engine generates: a fixed function of version and prompt,
-//! so that a test can tell a right answer from a wrong one byte by byte.
+//! Generates the text of answers as a deterministic function of version and prompt, so that tests
+//! can compare answers byte by byte.
 //!
 //! ```
 //! use sorreldeck_emulator::text::{answer, seed_of};
@@ -15,27 +15,27 @@
     "clerk", "mason", "note", "claim", "refund",
 ];
 
-/// Returns the number that stands for a prompt.
+/// Returns the hash that identifies a prompt.
 pub fn seed(prompt: &str) -> u64 {
     hash(prompt, 0)
 }
 
-/// Returns a number drawn from a text and a salt.
+/// Returns a 64-bit hash of a text and a salt.
 pub fn hash(text: &str, salt: u64) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(text.as_bytes());
     hasher.update(&salt.to_le_bytes());
-    let mut first = [0; 8];
-    first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-    u64::from_le_bytes(first)
+    let mut bytes = [0; 8];
+    bytes.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+    u64::from_le_bytes(bytes)
 }
 
-/// Returns a number in `[0, 1)` drawn from a text and a salt.
+/// Returns a hash of a text and a salt as a number in `[0, 1)`.
 pub fn unit(text: &str, salt: u64) -> f64 {
     (hash(text, salt) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The words of one answer; the first one tells the prompt's seed.
+/// The words of an answer; the first word is the prompt's seed in hexadecimal.
 #[derive(Clone, Debug)]
 pub struct Words {
     version: u64,
@@ -43,7 +43,7 @@
 }
 
 impl Words {
-    /// Returns the words that a version answers a prompt with.
+    /// Creates the words of a version's answer to a prompt.
     pub fn new(version: &str, prompt: &str) -> Words {
         Words {
             version: hash(version, 1),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the word at a place, with the space that follows it.
+    /// Returns the word at an index, followed by a space.
     pub fn word(&self, i: u32) -> String {
         if i == 0 {
             return format!("{:016x} ", self.seed);
@@ -63,13 +63,13 @@
     }
 }
 
-/// Returns the whole answer of a version to a prompt.
+/// Returns a version's complete answer to a prompt.
 pub fn answer(version: &str, prompt: &str, tokens: u32) -> String {
     let words = Words::new(version, prompt);
     (0..tokens).map(|i| words.word(i)).collect()
 }
 
-/// Returns the seed of the prompt that an answer belongs to.
+/// Returns the seed of the prompt that an answer belongs to, or `None` if its start is not a seed.
 pub fn seed_of(answer: &str) -> Option<u64> {
     u64::from_str_radix(answer.get(..16)?, 16).ok()
 }
