--- a/crates/emulator/src/crash/calls.rs
+++ b/crates/emulator/src/crash/calls.rs
@@ -1,4 +1,4 @@
-//! What is asked on such days, and of whom.
+//! The requests and upstreams of a scenario.
 
 use super::Kind;
 use crate::routed;
@@ -16,19 +16,19 @@
     routed::routed("call", &path)
 }
 
-/// Returns what asks an entry.
+/// Returns the input that passes a request of a kind to an entry.
 pub fn ask(request: RequestId, kind: Kind) -> Input {
     routed::ask(request, None, call(kind))
 }
 
-/// Returns what a request of a kind is known by when it comes again.
+/// Returns the fingerprint by which the quarantine recognises requests of a kind.
 pub fn fingerprint(kind: Kind) -> Fingerprint {
     // Calls of public routes belong to no client account.
-    let nobody = "nobody".parse().expect("a legal name");
-    Payload::Routed(Box::new(call(kind))).fingerprint(&nobody)
+    let account = "nobody".parse().expect("a valid name");
+    Payload::Routed(Box::new(call(kind))).fingerprint(&account)
 }
 
-/// Returns an upstream.
+/// Returns an upstream with 32 slots.
 pub fn member(link: Link) -> Member {
     routed::member(link, Placement::default(), 32)
 }
--- a/crates/emulator/src/crash/mod.rs
+++ b/crates/emulator/src/crash/mod.rs
@@ -1,12 +1,13 @@
-//! Whole days of several entries before upstreams that requests crash, without sockets.
+//! Simulates several entries with upstreams that some requests crash.
 //!
-//! The decisions are those of the daemon ([`sorreldeck::entry`]); time is passed by hand.
+//! The decisions are those of the daemon ([`sorreldeck::entry`]); time is virtual and no sockets
+//! are used.
 //!
 //! ```
 //! use sorreldeck_emulator::crash::{Scenario, World};
 //!
 //! let tally = World::new(Scenario::default(), 1).run();
-//! assert!(tally.late() <= 3);
+//! assert!(tally.late_sends() <= 3);
 //! ```
 
 mod calls;
--- a/crates/emulator/src/crash/scenario.rs
+++ b/crates/emulator/src/crash/scenario.rs
@@ -1,31 +1,32 @@
-//! What happens on a day.
+//! The configuration of a scenario.
 
 use sorreldeck::Span;
 
-/// What happens on a day.
+/// A scenario with one pool of upstreams, some of which crash.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The entries that take requests.
+    /// Number of entries.
     pub entries: usize,
-    /// The upstreams before which they stand.
+    /// Number of upstreams in the pool.
     pub upstreams: usize,
-    /// The requests that crash upstreams; each comes five times a second.
+    /// Number of requests that crash upstreams; each is made five times per second.
     pub crashing: usize,
-    /// The upstreams that crash for another reason, in a second.
+    /// Crashes per second for other reasons.
     pub crashes: f64,
-    /// When all upstreams crash at once, if they do.
+    /// When all upstreams crash at once, if set.
     pub crash_all_at: Option<Span>,
-    /// The other requests in a second, over all entries.
+    /// Other requests per second, over all entries.
     pub background_rate: f64,
-    /// How long one of these runs, on average.
+    /// Mean duration of the other requests.
     pub mean_duration: Span,
-    /// The part of them that ask the same.
+    /// Share of the other requests that are identical.
     pub identical: f64,
-    /// How long the day lasts.
+    /// Length of the scenario.
     pub duration: Span,
-    /// Whether words are lost, so that entries know by the record alone.
+    /// Whether updates between entries are lost, so that entries learn of quarantined requests only
+    /// from the records in the store.
     pub is_isolated: bool,
-    /// When an entry forgets all it knows, if one does.
+    /// When the first entry restarts without its state, if set.
     pub restart: Option<Span>,
 }
 
@@ -47,13 +48,13 @@
     }
 }
 
-/// What is asked.
+/// A kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// What crashes upstreams.
+    /// The request with this number among those that crash upstreams.
     Crashing(usize),
-    /// What is asked once.
+    /// A request that is made once.
     Single(u64),
-    /// What many ask.
+    /// The identical request that many callers make.
     Identical,
 }
--- a/crates/emulator/src/crash/tally.rs
+++ b/crates/emulator/src/crash/tally.rs
@@ -1,50 +1,49 @@
-//! What came of a day.
+//! The results of a scenario.
 
 use super::Kind;
 use sorreldeck::{Span, Time};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Within which time all entries must know of what one has seen: the bound of the
-/// installations.
+/// Time within which a quarantine must reach all entries; installations guarantee this bound.
 pub const PROPAGATION_LIMIT: Span = Span::from_millis(3_000);
 
-/// What came of a day.
+/// The results of a scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// The upstreams that crashed, for whatever reason.
+    /// Number of upstream crashes, for any reason.
     pub crashes: usize,
     /// When each crashing request was sent to an upstream.
     pub sends: BTreeMap<Kind, Vec<Time>>,
-    /// When each of them crashed its first and its third upstream.
+    /// When each crashing request crashed its first upstream.
     pub first: BTreeMap<Kind, Time>,
-    /// See `first`.
+    /// When each crashing request crashed its third upstream.
     pub third: BTreeMap<Kind, Time>,
-    /// How many upstreams each of them crashed.
+    /// Number of upstreams that each crashing request crashed.
     pub crashed: BTreeMap<Kind, usize>,
-    /// When the last entry began to hold each of them back.
+    /// When each crashing request was quarantined by the last entry to do so.
     pub quarantined: BTreeMap<Kind, Time>,
-    /// The others: when each was asked, and whether it was served.
+    /// The other requests: when each was made, its kind and whether it was served.
     pub requests: Vec<(Time, Kind, bool)>,
-    /// How often what many ask was refused as held back, though it crashes nothing.
+    /// Number of identical requests refused as quarantined although they crash nothing.
     pub false_refusals: usize,
-    /// The same for what is asked once.
+    /// Number of single requests refused as quarantined although they crash nothing.
     pub false_single_refusals: usize,
 }
 
 impl Tally {
-    /// Returns the most sends of a crashing request later than [`CONTACT`] after its third
-    /// crash.
+    /// Returns the largest number of times that a crashing request was sent later than
+    /// [`PROPAGATION_LIMIT`] after its third crash.
     pub fn late_sends(&self) -> usize {
         let late = |(kind, sends): (&Kind, &Vec<Time>)| {
-            let known = self.third.get(kind).map(|at| *at + PROPAGATION_LIMIT);
-            let late = known.map(|known| sends.iter().filter(|at| **at > known).count());
+            let deadline = self.third.get(kind).map(|at| *at + PROPAGATION_LIMIT);
+            let late = deadline.map(|deadline| sends.iter().filter(|at| **at > deadline).count());
             late.unwrap_or(0)
         };
         self.sends.iter().map(late).max().unwrap_or(0)
     }
 
-    /// Returns how long after a third crash a crashing request was sent last.
+    /// Returns the longest time between the third crash of a crashing request and its last send.
     pub fn last_send_delay(&self) -> Span {
         let after = |(kind, sends): (&Kind, &Vec<Time>)| {
             let third = self.third.get(kind)?;
@@ -57,7 +56,8 @@
             .unwrap_or_default()
     }
 
-    /// Returns how long after a third crash all entries knew of it, at the worst.
+    /// Returns the longest time between the third crash of a crashing request and its quarantine by
+    /// the last entry.
     pub fn quarantine_delay(&self) -> Span {
         let after = |(kind, at): (&Kind, &Time)| Some(at.since(*self.third.get(kind)?));
         self.quarantined
@@ -67,7 +67,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns how often what many ask was asked.
+    /// Returns the number of identical requests.
     pub fn identical(&self) -> usize {
         let alike = self
             .requests
@@ -76,22 +76,23 @@
         alike.count()
     }
 
-    /// Returns from when to when upstreams crash under requests that are not known yet.
+    /// Returns the time from the first crash by a crashing request to the end of the propagation of
+    /// the last quarantine.
     pub fn detection_window(&self) -> Range<Time> {
         let first = self.first.values().min().copied().unwrap_or_default();
         let third = self.third.values().max().copied().unwrap_or_default();
         first..third + PROPAGATION_LIMIT
     }
 
-    /// Returns the share of others served that were asked in a time.
+    /// Returns the share of the other requests made in a range of time that were served.
     pub fn served(&self, within: Range<Time>) -> f64 {
-        let asked = self
+        let made = self
             .requests
             .iter()
             .filter(|(at, _, _)| within.contains(at));
-        let (all, good) = asked.fold((0, 0), |(all, good), (_, _, is_good)| {
-            (all + 1, good + usize::from(*is_good))
+        let (all, served) = made.fold((0, 0), |(all, served), (_, _, is_served)| {
+            (all + 1, served + usize::from(*is_served))
         });
-        f64::from(good as u32) / f64::from(all.max(1))
+        f64::from(served as u32) / f64::from(all.max(1))
     }
 }
--- a/crates/emulator/src/crash/world.rs
+++ b/crates/emulator/src/crash/world.rs
@@ -1,4 +1,4 @@
-//! Several entries before one pool of upstreams that crash, with the time passed by hand.
+//! Simulates several entries with one pool of upstreams that crash, in virtual time.
 
 use super::calls;
 use super::{Kind, Scenario, Tally};
@@ -13,25 +13,25 @@
 use sorreldeck::{Failure, Reason, RequestId, Span, Time, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a request that crashes its upstream has run by then.
-const CRASHES_AFTER: Span = Span::from_millis(100);
-/// How long an upstream is away; another comes for it.
-const AWAY: Span = Span::from_millis(3_000);
-/// How long the row of a crashed upstream stays.
+/// Time from the start of a crashing request to the crash of its upstream.
+const CRASH_DELAY: Span = Span::from_millis(100);
+/// Time from the crash of an upstream to the start of its replacement.
+const REPLACE_DELAY: Span = Span::from_millis(3_000);
+/// Time from the crash of an upstream until its lease in the store expires.
 const LEASE: Span = Span::from_millis(3_600);
 const TICK: Span = Span::from_millis(20);
 
 #[derive(Debug)]
 enum Event {
-    Ask(Kind),
+    Issue(Kind),
     Reply(usize, Link, Run, Reply),
-    /// A run comes to its end, or to where it crashes its upstream.
+    /// A run ends or crashes its upstream.
     Finish(Link, usize, Run, Kind),
     CrashAny,
     CrashAll,
-    Lapse(Link),
-    Back,
-    Word(usize, Update),
+    Expire(Link),
+    Replace,
+    Update(usize, Update),
     Record(usize, Fingerprint, Option<Hold>),
     Tick,
     Restart,
@@ -42,9 +42,9 @@
     runs: BTreeSet<(usize, Run)>,
 }
 
-/// The entries and upstreams of a day.
+/// The simulated entries and upstreams of a scenario.
 pub struct World {
-    day: Scenario,
+    scenario: Scenario,
     now: Time,
     rng: ChaCha8Rng,
     entries: Vec<Entry>,
@@ -53,16 +53,16 @@
     next: u64,
     schedule: Schedule<Event>,
     asked: BTreeMap<RequestId, (usize, Kind, Time)>,
-    /// What is recorded, and which entry did so.
+    /// The records of the quarantine in the store, with the entry that wrote each.
     records: BTreeMap<Fingerprint, (Hold, usize)>,
-    /// Which entries have held which request back.
-    holding: BTreeSet<(Kind, usize)>,
+    /// The crashing requests that each entry has quarantined.
+    quarantined_by: BTreeSet<(Kind, usize)>,
     tally: Tally,
 }
 
 impl World {
-    /// Creates the entries and upstreams of a day; `seed` decides its luck.
-    pub fn new(day: Scenario, seed: u64) -> World {
+    /// Creates the entries and upstreams of a scenario; `seed` seeds its random numbers.
+    pub fn new(scenario: Scenario, seed: u64) -> World {
         let mut world = World {
             now: Time(1_000_000),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -73,16 +73,16 @@
             schedule: Schedule::default(),
             asked: BTreeMap::new(),
             records: BTreeMap::new(),
-            holding: BTreeSet::new(),
+            quarantined_by: BTreeSet::new(),
             tally: Tally::default(),
-            day,
+            scenario,
         };
-        for number in 0..world.day.entries {
+        for number in 0..world.scenario.entries {
             let entry = world.new_entry(number);
             world.entries.push(entry);
         }
-        for _ in 0..world.day.upstreams {
-            world.back();
+        for _ in 0..world.scenario.upstreams {
+            world.add_upstream();
         }
         world
     }
@@ -90,8 +90,8 @@
     fn new_entry(&mut self, number: usize) -> Entry {
         let mut entry = routed::entry(number as u64 + 1, self.rng.next_u64());
         entry.handle(self.now, routed::streams(""));
-        let names = 1..=self.day.entries;
-        let names = names.map(|n| format!("e{n}").parse().expect("a legal name"));
+        let names = 1..=self.scenario.entries;
+        let names = names.map(|n| format!("e{n}").parse().expect("a valid name"));
         entry.handle(self.now, Input::Entries(names.collect()));
         entry
     }
@@ -104,93 +104,97 @@
         self.now + Span::from_millis(self.rng.random_range(from..=to))
     }
 
-    /// Plays the day and returns what came of it.
+    /// Runs the scenario and returns its results.
+    ///
+    /// # Panics
+    ///
+    /// Panics if an entry answers a request that crashes its upstream.
     pub fn run(mut self) -> Tally {
-        let end = self.now + self.day.duration;
+        let end = self.now + self.scenario.duration;
         let start = self.now;
         self.at(start, Event::Tick);
-        for at in self.moments(self.day.crashes) {
+        for at in self.draw_times(self.scenario.crashes) {
             self.at(at, Event::CrashAny);
         }
-        if let Some(at) = self.day.crash_all_at {
+        if let Some(at) = self.scenario.crash_all_at {
             self.at(start + at, Event::CrashAll);
         }
-        if let Some(at) = self.day.restart {
+        if let Some(at) = self.scenario.restart {
             self.at(start + at, Event::Restart);
         }
-        for number in 0..self.day.crashing {
-            // The others are served by themselves at first.
-            for at in self.moments(5.0) {
+        for number in 0..self.scenario.crashing {
+            // For the first two seconds only the other requests are made.
+            for at in self.draw_times(5.0) {
                 if at.since(start) >= Span::from_millis(2_000) {
-                    self.at(at, Event::Ask(Kind::Crashing(number)));
+                    self.at(at, Event::Issue(Kind::Crashing(number)));
                 }
             }
         }
         for (number, at) in self
-            .moments(self.day.background_rate)
+            .draw_times(self.scenario.background_rate)
             .into_iter()
             .enumerate()
         {
-            let kind = match self.rng.random_bool(self.day.identical) {
+            let kind = match self.rng.random_bool(self.scenario.identical) {
                 true => Kind::Identical,
                 false => Kind::Single(number as u64),
             };
-            self.at(at, Event::Ask(kind));
+            self.at(at, Event::Issue(kind));
         }
         while let Some((at, event)) = self.schedule.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.tally
     }
 
-    /// Returns the moments of what happens so often in a second.
-    fn moments(&mut self, rate: f64) -> Vec<Time> {
-        let count = (rate * self.day.duration.secs_f64()) as usize;
-        let lasts = self.day.duration.micros();
-        let draw = |_| self.now + Span::from_micros(self.rng.random_range(0..lasts));
+    /// Draws the times of events with this rate per second.
+    fn draw_times(&mut self, rate: f64) -> Vec<Time> {
+        let count = (rate * self.scenario.duration.secs_f64()) as usize;
+        let duration = self.scenario.duration.micros();
+        let draw = |_| self.now + Span::from_micros(self.rng.random_range(0..duration));
         (0..count).map(draw).collect()
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Ask(kind) => self.ask(kind),
+            Event::Issue(kind) => self.issue(kind),
             Event::Reply(entry, link, run, reply) => {
-                self.tell(entry, Input::Reply(link, run, reply));
+                self.input(entry, Input::Reply(link, run, reply));
             }
             Event::Finish(link, entry, run, kind) => self.finish(link, entry, run, kind),
             Event::CrashAny => {
                 let up = self.upstreams.iter().filter(|(_, u)| u.is_up);
                 let up: Vec<Link> = up.map(|(link, _)| *link).collect();
                 if !up.is_empty() {
-                    let place = self.rng.random_range(0..up.len());
-                    self.crash(up[place]);
+                    let index = self.rng.random_range(0..up.len());
+                    self.crash(up[index]);
                 }
             }
             Event::CrashAll => {
                 let all: Vec<Link> = self.upstreams.keys().copied().collect();
                 all.into_iter().for_each(|link| self.crash(link));
             }
-            Event::Lapse(link) => {
+            Event::Expire(link) => {
                 for entry in 0..self.entries.len() {
-                    self.tell(entry, Input::Retire(link));
+                    self.input(entry, Input::Retire(link));
                 }
             }
-            Event::Back => self.back(),
-            Event::Word(entry, word) => self.tell(entry, Input::QuarantineUpdate(word)),
+            Event::Replace => self.add_upstream(),
+            Event::Update(entry, update) => self.input(entry, Input::QuarantineUpdate(update)),
             Event::Record(entry, fingerprint, hold) => {
                 let input = match hold {
                     Some(hold) => Input::Quarantined(fingerprint, hold),
                     None => Input::QuarantineRemoved(fingerprint),
                 };
-                self.tell(entry, input);
+                self.input(entry, input);
             }
             Event::Tick => {
                 for entry in 0..self.entries.len() {
-                    self.tell(entry, Input::Tick);
+                    self.input(entry, Input::Tick);
                 }
                 self.at(self.now + TICK, Event::Tick);
             }
@@ -198,7 +202,7 @@
         }
     }
 
-    /// Starts an entry anew: it knows upstreams and records, as the store's tables tell.
+    /// Restarts the first entry; it reads upstreams and quarantine records from the store again.
     fn restart(&mut self) {
         let mut entry = self.new_entry(0);
         for link in self.upstreams.keys() {
@@ -208,19 +212,19 @@
         self.asked.retain(|_, (at, _, _)| *at != 0);
         for (fingerprint, (hold, by)) in self.records.clone() {
             let is_own = by == 0;
-            self.tell(0, Input::Quarantined(fingerprint, Hold { is_own, ..hold }));
+            self.input(0, Input::Quarantined(fingerprint, Hold { is_own, ..hold }));
         }
     }
 
-    fn ask(&mut self, kind: Kind) {
+    fn issue(&mut self, kind: Kind) {
         let entry = self.rng.random_range(0..self.entries.len());
         self.next += 1;
         let request = RequestId::new(1, self.next);
         self.asked.insert(request, (entry, kind, self.now));
-        self.tell(entry, calls::ask(request, kind));
+        self.input(entry, calls::ask(request, kind));
     }
 
-    fn back(&mut self) {
+    fn add_upstream(&mut self) {
         let link = self.next_link;
         self.next_link += 1;
         let upstream = Upstream {
@@ -229,7 +233,7 @@
         };
         self.upstreams.insert(link, upstream);
         for entry in 0..self.entries.len() {
-            self.tell(entry, Input::Join(link, Box::new(calls::member(link))));
+            self.input(entry, Input::Join(link, Box::new(calls::member(link))));
         }
     }
 
@@ -245,8 +249,8 @@
             let at = self.after_ms(1, 9);
             self.at(at, Event::Reply(entry, link, run, Reply::Fail(failure)));
         }
-        self.at(self.now + LEASE, Event::Lapse(link));
-        self.at(self.now + AWAY, Event::Back);
+        self.at(self.now + LEASE, Event::Expire(link));
+        self.at(self.now + REPLACE_DELAY, Event::Replace);
     }
 
     fn finish(&mut self, link: Link, entry: usize, run: Run, kind: Kind) {
@@ -267,10 +271,10 @@
         if let Some(upstream) = self.upstreams.get_mut(&link) {
             upstream.runs.remove(&(entry, run));
         }
-        self.tell(entry, Input::Reply(link, run, Reply::End));
+        self.input(entry, Input::Reply(link, run, Reply::End));
     }
 
-    fn tell(&mut self, entry: usize, input: Input) {
+    fn input(&mut self, entry: usize, input: Input) {
         for output in self.entries[entry].handle(self.now, input) {
             self.output(entry, output);
         }
@@ -284,30 +288,30 @@
                     upstream.runs.remove(&(entry, run));
                 }
             }
-            Output::Answer(request, part) => self.answered(request, &part),
-            Output::QuarantineUpdate(word) => {
+            Output::Answer(request, part) => self.record_result(request, &part),
+            Output::QuarantineUpdate(update) => {
                 for other in (0..self.entries.len()).filter(|n| *n != entry) {
-                    if !self.day.is_isolated {
+                    if !self.scenario.is_isolated {
                         let at = self.after_ms(20, 150);
-                        // What is known of the way is known but for some ms.
-                        let way = at.since(self.now) - Span::from_millis(8);
-                        let word = word.clone().delayed(way);
-                        self.at(at, Event::Word(other, word));
+                        // Entries underestimate the latency of an update by 8 ms.
+                        let latency = at.since(self.now) - Span::from_millis(8);
+                        let update = update.clone().delayed(latency);
+                        self.at(at, Event::Update(other, update));
                     }
                 }
             }
-            Output::RecordQuarantine(news) => self.record(entry, news),
+            Output::RecordQuarantine(change) => self.record(entry, change),
             _ => {}
         }
     }
 
-    fn record(&mut self, entry: usize, news: Change) {
-        let (fingerprint, hold) = match news {
+    fn record(&mut self, entry: usize, change: Change) {
+        let (fingerprint, hold) = match change {
             Change::Held(fingerprint, hold, _) => (fingerprint, Some(hold)),
             Change::Freed(fingerprint) => (fingerprint, None),
         };
         if hold.is_some() {
-            self.note_known(entry, fingerprint);
+            self.record_quarantined(entry, fingerprint);
         }
         let known = self.records.get(&fingerprint).copied();
         let is_new = match (known, hold) {
@@ -329,13 +333,13 @@
         }
     }
 
-    /// Notes when the last of the entries first held a crashing request back.
-    fn note_known(&mut self, entry: usize, fingerprint: Fingerprint) {
-        let kinds = (0..self.day.crashing).map(Kind::Crashing);
+    /// Records when an entry first quarantined a crashing request.
+    fn record_quarantined(&mut self, entry: usize, fingerprint: Fingerprint) {
+        let kinds = (0..self.scenario.crashing).map(Kind::Crashing);
         let kind = kinds
             .into_iter()
             .find(|k| calls::fingerprint(*k) == fingerprint);
-        if let Some(kind) = kind.filter(|kind| self.holding.insert((*kind, entry))) {
+        if let Some(kind) = kind.filter(|kind| self.quarantined_by.insert((*kind, entry))) {
             self.tally.quarantined.insert(kind, self.now);
         }
     }
@@ -353,19 +357,19 @@
         upstream.runs.insert((entry, run));
         let head = self.after_ms(20, 60);
         self.at(head, Event::Reply(entry, link, run, routed::head(200)));
-        let runs_for = self.day.mean_duration.millis();
+        let mean = self.scenario.mean_duration.millis();
         let end = match kind {
             Kind::Crashing(_) => {
                 self.tally.sends.entry(kind).or_default().push(self.now);
-                self.now + CRASHES_AFTER
+                self.now + CRASH_DELAY
             }
-            _ => self.after_ms(runs_for / 2 + 60, runs_for * 3 / 2 + 60),
+            _ => self.after_ms(mean / 2 + 60, mean * 3 / 2 + 60),
         };
         self.at(end, Event::Finish(link, entry, run, kind));
     }
 
-    fn answered(&mut self, request: RequestId, part: &Part) {
-        let is_good = match part {
+    fn record_result(&mut self, request: RequestId, part: &Part) {
+        let is_served = match part {
             Part::End => true,
             Part::Fail(_) => false,
             _ => return,
@@ -373,18 +377,21 @@
         let Some((_, kind, at)) = self.asked.remove(&request) else {
             return;
         };
-        let held = matches!(part, Part::Fail(f) if f.reason == Reason::Quarantined);
+        let is_quarantined = matches!(part, Part::Fail(f) if f.reason == Reason::Quarantined);
         match kind {
             Kind::Crashing(_) => {
-                assert!(!is_good, "what crashes its upstream is never answered");
+                assert!(
+                    !is_served,
+                    "a request that crashes its upstream is never answered"
+                );
             }
             _ => {
-                self.tally.requests.push((at, kind, is_good));
-                let wrongly = match kind {
+                self.tally.requests.push((at, kind, is_served));
+                let count = match kind {
                     Kind::Identical => &mut self.tally.false_refusals,
                     _ => &mut self.tally.false_single_refusals,
                 };
-                *wrongly += usize::from(held);
+                *count += usize::from(is_quarantined);
             }
         }
     }
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -192,7 +192,8 @@
         self.state().versions.insert(version.to_owned());
     }
 
-    /// Counts a rejection and returns its `Retry-After` in seconds, or `None` if requests are accepted.
+    /// Counts a rejection and returns its `Retry-After` in seconds, or `None` if requests are
+    /// accepted.
     fn reject(&self) -> Option<f64> {
         let mut state = self.state();
         let retry_after = state.faults.retry_after?;
@@ -258,7 +259,8 @@
         }
     }
 
-    /// Fills the batch and prefills prompts. Returns the duration of the step, or `None` if the batch
+    /// Fills the batch and prefills prompts. Returns the duration of the step, or `None` if the
+    /// batch
     /// is empty or the engine frozen.
     fn step(&self) -> Option<Duration> {
         let speed = self.0.speed;
--- a/crates/emulator/src/notice/mod.rs
+++ b/crates/emulator/src/notice/mod.rs
@@ -1,7 +1,8 @@
-//! Whole days of several entries before upstreams that say of themselves that they leave,
-//! want rest or take only so many requests a second, without sockets.
+//! Simulates several entries with upstreams that announce that they leave, ask for a pause or limit
+//! their request rate.
 //!
-//! The decisions are those of the daemon ([`sorreldeck::entry`]); time is passed by hand.
+//! The decisions are those of the daemon ([`sorreldeck::entry`]); time is virtual and no sockets
+//! are used.
 //!
 //! ```
 //! use sorreldeck_emulator::notice::{Scenario, World};
--- a/crates/emulator/src/notice/scenario.rs
+++ b/crates/emulator/src/notice/scenario.rs
@@ -1,58 +1,58 @@
-//! What happens on a day.
+//! The configuration of a scenario.
 
 use sorreldeck::{Rate, Span};
 
-/// What upstreams say of themselves.
+/// A signal that upstreams send about themselves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Signal {
-    /// That they take no new requests any more.
+    /// The upstream is about to leave and takes no new requests.
     Leaving,
-    /// That they want no requests for this long, with each request that they turn away.
+    /// The upstream rejects each request and asks for a pause of this length.
     Pause(Span),
-    /// That they take so many requests a second from all entries together.
+    /// The upstream limits the requests of all entries together to this rate.
     Limit(Rate),
-    /// The same, with another number between the two in each second.
+    /// A limit that is drawn anew from this range in each second.
     VaryingLimit(Rate, Rate),
 }
 
-/// Something that some upstreams say from one moment to another.
+/// A period in which some upstreams send a signal.
 #[derive(Clone, Copy, Debug)]
 pub struct Period {
-    /// When it begins, from the start of the day.
+    /// Start, from the start of the scenario.
     pub start: Span,
-    /// For how long they say it.
+    /// Length of the period.
     pub duration: Span,
-    /// How many of the upstreams say it, from the first on.
+    /// Number of upstreams that send the signal: those with the lowest links.
     pub upstreams: usize,
-    /// What they say.
+    /// The signal.
     pub signal: Signal,
 }
 
-/// A day to be played.
+/// A scenario with one pool of upstreams that send signals.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The entries.
+    /// Number of entries.
     pub entries: usize,
-    /// The upstreams of the one pool.
+    /// Number of upstreams in the pool.
     pub upstreams: usize,
-    /// The requests in a second.
+    /// Requests per second, over all entries.
     pub request_rate: f64,
-    /// The part of them that goes to a route of a lower rank.
+    /// Share of the requests that go to a route of a lower rank.
     pub low_rank_share: f64,
-    /// How long the day lasts.
+    /// Length of the scenario.
     pub duration: Span,
-    /// What upstreams say.
+    /// The periods in which upstreams send signals.
     pub periods: Vec<Period>,
-    /// Whether entries hear nothing of one another.
+    /// Whether updates between entries are lost.
     pub is_isolated: bool,
-    /// How often an entry is killed and starts anew, which knows nothing.
+    /// Interval at which an entry, drawn at random, is killed and restarted without its state.
     pub restart_interval: Option<Span>,
-    /// The entries that were there once and that all still count.
+    /// Number of former entries that all entries still count.
     pub stale_entries: usize,
 }
 
 impl Default for Scenario {
-    /// Three entries, 18 upstreams and nothing that happens to them.
+    /// Three entries, 18 upstreams and no signals.
     fn default() -> Scenario {
         Scenario {
             entries: 3,
--- a/crates/emulator/src/notice/world.rs
+++ b/crates/emulator/src/notice/world.rs
@@ -1,5 +1,4 @@
-//! Several entries before one pool of upstreams that speak of themselves, with the time passed
-//! by hand.
+//! Simulates several entries with one pool of upstreams that send signals, in virtual time.
 
 use super::{Limited, Period, Request, Scenario, Signal, Tally};
 use crate::routed;
@@ -14,80 +13,81 @@
 use std::collections::BTreeMap;
 
 const TICK: Span = Span::from_millis(20);
-/// How long an answer takes to begin, and to end after that, in milliseconds.
-const BEGINS_MS: std::ops::RangeInclusive<u64> = 20..=80;
-const ENDS_MS: std::ops::RangeInclusive<u64> = 20..=1_500;
-/// The way to an upstream and back, in milliseconds.
-const WAY_MS: std::ops::RangeInclusive<u64> = 1..=4;
-/// How long what entries tell one another takes, in milliseconds.
-const LINKS_MS: std::ops::RangeInclusive<u64> = 20..=150;
-/// How long after it was asked for rest an entry is held to it.
-const RESTS_AFTER: Span = Span::from_millis(500);
-/// How many beginnings prompts share, their tokens and those of whole prompts.
-const BEGINNINGS: u64 = 1_000;
-const SHARED: u32 = 1_500;
-const PROMPT: u32 = 2_000;
-/// What an upstream runs at a time.
+/// Time from the arrival of a request to the head of its answer, and from there to its end, in
+/// milliseconds.
+const HEAD_DELAY_MS: std::ops::RangeInclusive<u64> = 20..=80;
+const BODY_DELAY_MS: std::ops::RangeInclusive<u64> = 20..=1_500;
+/// Latency to an upstream, or back, in milliseconds.
+const LATENCY_MS: std::ops::RangeInclusive<u64> = 1..=4;
+/// Latency of updates between entries, in milliseconds.
+const UPDATE_LATENCY_MS: std::ops::RangeInclusive<u64> = 20..=150;
+/// Time after an entry received a pause from which requests sent during it are counted.
+const PAUSE_GRACE: Span = Span::from_millis(500);
+/// Number of shared prompt prefixes, tokens of a shared prefix, and tokens of a prompt.
+const SHARED_PREFIXES: u64 = 1_000;
+const SHARED_TOKENS: u32 = 1_500;
+const PROMPT_TOKENS: u32 = 2_000;
+/// Requests that an upstream runs at a time.
 const SLOTS: u32 = 32;
 
 #[derive(Debug)]
 enum Event {
-    Ask,
-    Reach(usize, Link, Run),
+    Issue,
+    Arrive(usize, Link, Run),
     Head(usize, Link, Run),
     End(usize, Link, Run),
     Reply(usize, Link, Run, Reply),
-    Word(usize, Update),
+    Update(usize, Update),
     Tick,
     Restart,
 }
 
-/// What an entry was told by an upstream, and what it sent there since.
+/// The signals that an entry received from an upstream, and the requests sent during the pause.
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
+struct Received {
     leaving: Option<Time>,
-    rest: Option<(Time, Time)>,
-    sent_while: usize,
+    pause: Option<(Time, Time)>,
+    sent_during_pause: usize,
 }
 
-/// The entries and upstreams of a day.
+/// The simulated entries and upstreams of a scenario.
 pub struct World {
-    day: Scenario,
+    scenario: Scenario,
     start: Time,
     now: Time,
     rng: ChaCha8Rng,
     entries: Vec<Entry>,
-    /// How often each entry has started.
-    lives: Vec<u64>,
+    /// Number of restarts of each entry.
+    restarts: Vec<u64>,
     next: u64,
     schedule: Schedule<Event>,
-    /// What was asked of which entry and has not been answered, as if it were not served.
+    /// Unanswered requests with their entry; their results say not served until an answer arrives.
     asked: BTreeMap<RequestId, (usize, Request)>,
-    heard: BTreeMap<(usize, Link), Heard>,
-    /// What runs at each upstream.
+    received: BTreeMap<(usize, Link), Received>,
+    /// Number of requests running at each upstream.
     running: BTreeMap<Link, u32>,
     tally: Tally,
 }
 
 impl World {
-    /// Creates the entries and upstreams of a day; `seed` decides its luck.
-    pub fn new(day: Scenario, seed: u64) -> World {
+    /// Creates the entries and upstreams of a scenario; `seed` seeds its random numbers.
+    pub fn new(scenario: Scenario, seed: u64) -> World {
         let start = Time(1_000_000);
         let mut world = World {
             start,
             now: start,
             rng: ChaCha8Rng::seed_from_u64(seed),
             entries: Vec::new(),
-            lives: vec![0; day.entries],
+            restarts: vec![0; scenario.entries],
             next: 1,
             schedule: Schedule::default(),
             asked: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            received: BTreeMap::new(),
             running: BTreeMap::new(),
             tally: Tally::default(),
-            day,
+            scenario,
         };
-        for number in 0..world.day.entries {
+        for number in 0..world.scenario.entries {
             let entry = world.new_entry(number);
             world.entries.push(entry);
         }
@@ -98,13 +98,13 @@
         let mut entry = routed::entry(number as u64 + 1, self.rng.next_u64());
         let later = routed::route("later", "rank = 2");
         entry.handle(self.now, routed::streams(&format!("rank = 0\n{later}")));
-        let names = 1..=self.day.entries + self.day.stale_entries;
-        let names = names.map(|n| format!("e{n}").parse().expect("a legal name"));
+        let names = 1..=self.scenario.entries + self.scenario.stale_entries;
+        let names = names.map(|n| format!("e{n}").parse().expect("a valid name"));
         let names: Vec<InstanceId> = names.collect();
         entry.handle(self.now, Input::Entries(names));
-        for link in 1..=self.day.upstreams as Link {
+        for link in 1..=self.scenario.upstreams as Link {
             let place = Placement {
-                release: Some("v1".parse().expect("a legal name")),
+                release: Some("v1".parse().expect("a valid name")),
                 ..Placement::default()
             };
             let member = routed::member(link, place, SLOTS);
@@ -121,39 +121,39 @@
         self.now + Span::from_micros(self.rng.random_range(ms.start() * 1_000..=ms.end() * 1_000))
     }
 
-    /// Plays the day and returns what came of it.
+    /// Runs the scenario and returns its results.
     pub fn run(mut self) -> Tally {
-        let end = self.start + self.day.duration;
+        let end = self.start + self.scenario.duration;
         self.at(self.start, Event::Tick);
-        if let Some(each) = self.day.restart_interval {
+        if let Some(each) = self.scenario.restart_interval {
             self.at(self.start + each, Event::Restart);
         }
-        let count = (self.day.request_rate * self.day.duration.secs_f64()) as usize;
+        let count = (self.scenario.request_rate * self.scenario.duration.secs_f64()) as usize;
         for _ in 0..count {
-            let at = self.rng.random_range(0..self.day.duration.micros());
-            self.at(self.start + Span::from_micros(at), Event::Ask);
+            let at = self.rng.random_range(0..self.scenario.duration.micros());
+            self.at(self.start + Span::from_micros(at), Event::Issue);
         }
         while let Some((at, event)) = self.schedule.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.tally
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Ask => self.ask(),
-            Event::Reach(entry, link, run) => self.reach(entry, link, run),
+            Event::Issue => self.issue(),
+            Event::Arrive(entry, link, run) => self.arrive(entry, link, run),
             Event::Head(entry, link, run) => {
                 let notice = self.notice(link);
                 let running = self.running.get(&link).copied().unwrap_or_default();
                 let reply = routed::head_with(200, notice, Some((running, 0, SLOTS)));
-                let arrives = self.after(WAY_MS);
+                let arrives = self.after(LATENCY_MS);
                 self.at(arrives, Event::Reply(entry, link, run, reply));
-                let ends = self.after(ENDS_MS);
+                let ends = self.after(BODY_DELAY_MS);
                 let ends = ends.max(arrives + Span::from_millis(1));
                 self.at(ends, Event::End(entry, link, run));
             }
@@ -164,11 +164,11 @@
                 self.reply(entry, link, run, Reply::End);
             }
             Event::Reply(entry, link, run, reply) => self.reply(entry, link, run, reply),
-            Event::Word(entry, word) => self.tell(entry, Input::Notice(word)),
+            Event::Update(entry, update) => self.input(entry, Input::Notice(update)),
             Event::Tick => {
-                self.note_limits();
+                self.record_limits();
                 for entry in 0..self.entries.len() {
-                    self.tell(entry, Input::Tick);
+                    self.input(entry, Input::Tick);
                 }
                 self.at(self.now + TICK, Event::Tick);
             }
@@ -176,26 +176,26 @@
         }
     }
 
-    /// Kills an entry, drawn at random, and starts it anew.
+    /// Restarts an entry, drawn at random, without its state.
     fn restart(&mut self) {
         let number = self.rng.random_range(0..self.entries.len());
         self.entries[number] = self.new_entry(number);
-        self.lives[number] += 1;
+        self.restarts[number] += 1;
         self.asked.retain(|_, (entry, _)| *entry != number);
-        self.heard.retain(|(entry, _), _| *entry != number);
+        self.received.retain(|(entry, _), _| *entry != number);
         for limited in self.tally.limited.values_mut() {
-            limited.told.remove(&number);
+            limited.received.remove(&number);
         }
-        if let Some(each) = self.day.restart_interval {
+        if let Some(each) = self.scenario.restart_interval {
             self.at(self.now + each, Event::Restart);
         }
     }
 
-    fn ask(&mut self) {
+    fn issue(&mut self) {
         let entry = self.rng.random_range(0..self.entries.len());
         self.next += 1;
-        let request = RequestId::new(self.lives[entry], self.next);
-        let is_later = self.rng.random_bool(self.day.low_rank_share);
+        let request = RequestId::new(self.restarts[entry], self.next);
+        let is_later = self.rng.random_bool(self.scenario.low_rank_share);
         let asked = Request {
             at: self.now,
             is_low_rank: is_later,
@@ -204,38 +204,38 @@
         self.asked.insert(request, (entry, asked));
         let path = if is_later { "/later/1" } else { "/drafts/1" };
         let shared = Prefix {
-            hash: self.rng.random_range(0..BEGINNINGS),
-            tokens: SHARED,
+            hash: self.rng.random_range(0..SHARED_PREFIXES),
+            tokens: SHARED_TOKENS,
         };
         let own = Prefix {
             hash: self.rng.next_u64(),
-            tokens: PROMPT,
+            tokens: PROMPT_TOKENS,
         };
         let call = Routed {
-            tokens: PROMPT,
+            tokens: PROMPT_TOKENS,
             prefixes: vec![shared, own],
             ..routed::routed(format!("r{}", self.next), path)
         };
-        self.tell(entry, routed::ask(request, None, call));
+        self.input(entry, routed::ask(request, None, call));
     }
 
-    /// Returns what an upstream says now.
-    fn says(&self, link: Link) -> impl Iterator<Item = &Period> {
+    /// Returns the current periods of an upstream.
+    fn periods(&self, link: Link) -> impl Iterator<Item = &Period> {
         let passed = self.now.since(self.start);
         let is_now = move |t: &&Period| {
             link <= t.upstreams as Link && t.start <= passed && passed < t.start + t.duration
         };
-        self.day.periods.iter().filter(is_now)
+        self.scenario.periods.iter().filter(is_now)
     }
 
-    /// Returns the limit that an upstream names now, and from when to when it names one.
+    /// Returns the current limit of an upstream with the start and end of its period.
     fn limit(&self, link: Link) -> Option<(Rate, Time, Time)> {
         let second = self.now.since(self.start).millis() / 1_000;
-        self.says(link).find_map(|trouble| {
-            let rate = match trouble.signal {
+        self.periods(link).find_map(|period| {
+            let rate = match period.signal {
                 Signal::Limit(rate) => rate,
                 Signal::VaryingLimit(from, to) => {
-                    // Drawn anew for each upstream and second.
+                    // The seed gives each upstream and second its own draw.
                     let mut rng = ChaCha8Rng::seed_from_u64(link << 32 | second);
                     let share = rng.random::<f64>();
                     let spread = to.per_second() - from.per_second();
@@ -243,19 +243,19 @@
                 }
                 Signal::Leaving | Signal::Pause(_) => return None,
             };
-            let from = self.start + trouble.start;
-            Some((rate, from, from + trouble.duration))
+            let from = self.start + period.start;
+            Some((rate, from, from + period.duration))
         })
     }
 
-    /// Returns what an upstream says of itself in whatever it answers now.
+    /// Returns the notice that an upstream adds to an answer now, without a pause.
     fn notice(&mut self, link: Link) -> Notice {
-        let leaving = self.says(link).any(|t| t.signal == Signal::Leaving);
+        let leaving = self.periods(link).any(|t| t.signal == Signal::Leaving);
         let limit = self.limit(link);
         if let Some((rate, from, until)) = limit {
             let limited = self.tally.limited.entry(link);
             limited.or_insert_with(|| Limited {
-                named: from..until,
+                limited: from..until,
                 limits: vec![(from, rate)],
                 ..Limited::default()
             });
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Notes what upstreams with limits take from now on.
-    fn note_limits(&mut self) {
+    /// Records changed limits of upstreams in the tally.
+    fn record_limits(&mut self) {
         let links: Vec<Link> = self.tally.limited.keys().copied().collect();
         for link in links {
             let rate = self.limit(link).map(|(rate, _, _)| rate);
@@ -282,38 +282,39 @@
         }
     }
 
-    /// A request reaches its upstream.
-    fn reach(&mut self, entry: usize, link: Link, run: Run) {
+    /// Handles the arrival of a request at its upstream.
+    fn arrive(&mut self, entry: usize, link: Link, run: Run) {
         let now = self.now;
-        let heard = self.heard.entry((entry, link)).or_default();
-        if let Some(at) = heard.leaving {
+        let received = self.received.entry((entry, link)).or_default();
+        if let Some(at) = received.leaving {
             self.tally.last_send_delay = self.tally.last_send_delay.max(now.since(at));
         }
-        if let Some((from, until)) = heard.rest {
+        if let Some((from, until)) = received.pause {
             if (from..until).contains(&now) {
-                heard.sent_while += 1;
-                self.tally.sent_during_pause = self.tally.sent_during_pause.max(heard.sent_while);
+                received.sent_during_pause += 1;
+                self.tally.sent_during_pause =
+                    self.tally.sent_during_pause.max(received.sent_during_pause);
             }
         }
         if let Some(limited) = self.tally.limited.get_mut(&link) {
-            limited.got.push((now, entry));
+            limited.arrivals.push((now, entry));
         }
         let notice = self.notice(link);
-        let rest = self.says(link).find_map(|t| match t.signal {
+        let pause = self.periods(link).find_map(|t| match t.signal {
             Signal::Pause(span) => Some(span),
             _ => None,
         });
-        let Some(rest) = rest else {
+        let Some(pause) = pause else {
             *self.running.entry(link).or_default() += 1;
-            let begins = self.after(BEGINS_MS);
+            let begins = self.after(HEAD_DELAY_MS);
             return self.at(begins, Event::Head(entry, link, run));
         };
         self.tally.rejected += 1;
         let notice = Notice {
-            pause: Some(rest),
+            pause: Some(pause),
             ..notice
         };
-        let arrives = self.after(WAY_MS);
+        let arrives = self.after(LATENCY_MS);
         let refused = Failure::not_run(Reason::Overloaded, "refused with 503");
         self.at(
             arrives,
@@ -326,7 +327,7 @@
     }
 
     fn reply(&mut self, entry: usize, link: Link, run: Run, reply: Reply) {
-        if run.request.origin().0 != self.lives[entry] {
+        if run.request.origin().0 != self.restarts[entry] {
             return;
         }
         let notice = match &reply {
@@ -335,30 +336,30 @@
             _ => None,
         };
         if let Some(notice) = notice {
-            self.note_told(entry, link, notice);
+            self.record_received(entry, link, notice);
         }
-        self.tell(entry, Input::Reply(link, run, reply));
+        self.input(entry, Input::Reply(link, run, reply));
     }
 
-    /// Notes what an entry is told, for the tally.
-    fn note_told(&mut self, entry: usize, link: Link, notice: Notice) {
+    /// Records the signals that an entry received, for the tally.
+    fn record_received(&mut self, entry: usize, link: Link, notice: Notice) {
         let now = self.now;
-        let heard = self.heard.entry((entry, link)).or_default();
+        let received = self.received.entry((entry, link)).or_default();
         if notice.leaving {
-            heard.leaving.get_or_insert(now);
+            received.leaving.get_or_insert(now);
         }
-        if let Some(rest) = notice.pause {
-            heard.rest = Some((now + RESTS_AFTER, now + rest));
-            heard.sent_while = 0;
+        if let Some(pause) = notice.pause {
+            received.pause = Some((now + PAUSE_GRACE, now + pause));
+            received.sent_during_pause = 0;
         }
         if notice.limit.is_some() {
             if let Some(limited) = self.tally.limited.get_mut(&link) {
-                limited.told.entry(entry).or_insert(now);
+                limited.received.entry(entry).or_insert(now);
             }
         }
     }
 
-    fn tell(&mut self, entry: usize, input: Input) {
+    fn input(&mut self, entry: usize, input: Input) {
         for output in self.entries[entry].handle(self.now, input) {
             self.output(entry, output);
         }
@@ -367,21 +368,21 @@
     fn output(&mut self, entry: usize, output: Output) {
         match output {
             Output::Send(link, Frame::Start(start)) => {
-                let reaches = self.after(WAY_MS);
-                self.at(reaches, Event::Reach(entry, link, start.run));
+                let reaches = self.after(LATENCY_MS);
+                self.at(reaches, Event::Arrive(entry, link, start.run));
             }
-            Output::Answer(request, part) => self.answered(request, &part),
-            Output::Notice(word) if !self.day.is_isolated => {
+            Output::Answer(request, part) => self.record_result(request, &part),
+            Output::Notice(update) if !self.scenario.is_isolated => {
                 for other in (0..self.entries.len()).filter(|n| *n != entry) {
-                    let at = self.after(LINKS_MS);
-                    self.at(at, Event::Word(other, word));
+                    let at = self.after(UPDATE_LATENCY_MS);
+                    self.at(at, Event::Update(other, update));
                 }
             }
             _ => {}
         }
     }
 
-    fn answered(&mut self, request: RequestId, part: &Part) {
+    fn record_result(&mut self, request: RequestId, part: &Part) {
         let is_served = match part {
             Part::Head { .. } => true,
             Part::Fail(_) => false,
