--- a/crates/emulator/src/notice/tally.rs
+++ b/crates/emulator/src/notice/tally.rs
@@ -69,7 +69,7 @@
         worst
     }
 
-    /// Returns the share of the allowed requests that arrived, from [`COUNTED_AFTER`] on.
+    /// Returns the share of the allowed requests that arrived, from `COUNTED_AFTER` on.
     pub fn utilization(&self) -> f64 {
         let span = self.limited.start + COUNTED_AFTER..self.limited.end;
         let within = self.arrivals.iter().filter(|(at, _)| span.contains(at));
