--- a/crates/emulator/src/crash/mod.rs
+++ b/crates/emulator/src/crash/mod.rs
@@ -1,19 +1,20 @@
-//! Whole days of several entries before upstreams that requests crash, without sockets.
+//! Simulates several entries with upstreams that some requests crash.
 //!
-//! The decisions are those of the daemon ([`sorreldeck::entry`]); time is passed by hand.
+//! The decisions are those of the daemon ([`sorreldeck::entry`]); time is virtual and no sockets
+//! are used.
 //!
 //! ```
-//! use sorreldeck_emulator::crash::{Day, World};
+//! use sorreldeck_emulator::crash::{Scenario, World};
 //!
-//! let tally = World::new(Day::default(), 1).play();
-//! assert!(tally.late() <= 3);
+//! let tally = World::new(Scenario::default(), 1).run();
+//! assert!(tally.late_sends() <= 3);
 //! ```
 
 mod calls;
-mod day;
+mod scenario;
 mod tally;
 mod world;
 
-pub use day::{Day, Kind};
-pub use tally::{Tally, CONTACT};
+pub use scenario::{Kind, Scenario};
+pub use tally::{Tally, PROPAGATION_LIMIT};
 pub use world::World;
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,10 +1,9 @@
-//! A model engine: continuous batching, a prefix cache, priorities, cancel and
-//! resume, load reports with a lag, and fenced orders.
+//! An emulated model engine with continuous batching, a prefix cache, priorities, cancellation,
+//! resumption, delayed load reports and fenced orders.
 //!
-//! Time model: the engine works in steps. In each step it works through at most
-//! one chunk of prompts and makes one token for every request in its batch. A
-//! step takes a base time, a time for each request in the batch, and the time of
-//! the chunk.
+//! Time model: the engine works in steps. A step prefills at most one chunk of prompt tokens and
+//! generates one token for every request in the batch whose prompt is prefilled. It takes a base
+//! time, a time for each request that generates a token, and the time to prefill the chunk.
 //!
 //! ```
 //! use sorreldeck_emulator::engine::{Engine, Speed};
@@ -37,28 +36,28 @@
 use std::time::{Duration, Instant};
 use tide::{Body, Request, Response};
 
-/// The tokens in one block of the prefix cache.
+/// Tokens in a block of the prefix cache.
 const BLOCK: usize = 32;
-const LETTERS_PER_TOKEN: usize = 4;
-/// How long a run without a listener goes on, if it may be resumed.
+const BYTES_PER_TOKEN: usize = 4;
+/// How long a resumable run goes on after its caller disconnected.
 const RESUME_GRACE: Duration = Duration::from_secs(5);
 
-/// How fast an engine is.
+/// The capacity and speed of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Speed {
-    /// The most requests in the batch.
+    /// Maximum number of requests in the batch.
     pub slots: usize,
-    /// The prompt tokens worked through in a second.
+    /// Prompt tokens prefilled per second.
     pub prefill: f64,
-    /// The prompt tokens worked through in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub chunk: f64,
-    /// The time of a step.
+    /// Base time of a step.
     pub base: Duration,
-    /// The time that each request in the batch adds to a step.
-    pub each: Duration,
-    /// The tokens that the prefix cache holds.
+    /// Time that each request that generates a token adds to a step.
+    pub per_request: Duration,
+    /// Capacity of the prefix cache in tokens.
     pub cache: usize,
-    /// How far load reports lag.
+    /// Age of the load that `/load` reports.
     pub report_lag: Duration,
 }
 
@@ -69,32 +68,34 @@
             prefill: 20_000.0,
             chunk: 512.0,
             base: Duration::from_millis(8),
-            each: Duration::from_micros(250),
+            per_request: Duration::from_micros(250),
             cache: 64 * 1024,
             report_lag: Duration::from_millis(500),
         }
     }
 }
 
-/// Switches for faults.
+/// Faults to inject.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Knobs {
-    /// The share of requests that fail with status 500.
+pub struct Faults {
+    /// Share of requests that fail with status 500.
     pub fail: f64,
-    /// Requests are turned away, and rest of so many seconds is asked for.
-    pub rest: Option<f64>,
-    /// Requests break off after so many tokens.
+    /// Rejects requests with status 503 and this `Retry-After`, in seconds.
+    #[serde(rename = "rest")]
+    pub retry_after: Option<f64>,
+    /// Breaks answers off after this number of tokens.
     pub close_after: Option<u32>,
-    /// Answers carry the id of another request.
+    /// Gives answers the id of another request.
     pub foreign: bool,
-    /// Orders are carried out whatever their fence.
-    pub checks_nothing: bool,
-    /// No step is made while this is set.
+    /// Carries out orders whose fence is out of date.
+    #[serde(rename = "checks_nothing")]
+    pub ignore_fences: bool,
+    /// Runs no steps while set.
     pub frozen: bool,
 }
 
-/// A model engine; copies are the same engine.
+/// An emulated model engine; clones share its state.
 #[derive(Clone)]
 pub struct Engine(Arc<Shared>);
 
@@ -108,7 +109,7 @@
 
 #[derive(Default)]
 struct State {
-    knobs: Knobs,
+    faults: Faults,
     versions: BTreeSet<String>,
     fence: u64,
     waiting: Vec<Job>,
@@ -116,19 +117,19 @@
     cache: VecDeque<u64>,
     cache_events: VecDeque<Value>,
     reports: VecDeque<(Instant, Value)>,
-    ran: BTreeMap<String, Ran>,
+    runs: BTreeMap<String, Progress>,
     arrivals: u64,
-    turned_away: u64,
+    rejected: u64,
 }
 
-/// What a run came to, by the id that the caller gave it.
+/// The progress of the runs with one id, which the caller chooses.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ran {
-    /// How often a run with this id was started.
+pub struct Progress {
+    /// Number of runs started with this id.
     pub starts: u32,
-    /// The tokens that were made.
+    /// Tokens generated by the latest run that ended.
     pub tokens: u32,
-    /// Whether all of them were made.
+    /// Whether that run generated all its tokens.
     pub finished: bool,
 }
 
@@ -140,16 +141,16 @@
     blocks: Vec<u64>,
     prefill_left: f64,
     max_tokens: u32,
-    made: u32,
+    generated: u32,
     priority: i64,
-    order: u64,
-    tell: Sender<u32>,
-    orphaned: Option<Instant>,
+    arrival: u64,
+    sender: Sender<u32>,
+    orphaned_since: Option<Instant>,
     resumable: bool,
 }
 
 #[derive(Debug, Deserialize)]
-struct Ask {
+struct Chat {
     model: String,
     #[serde(default)]
     messages: Vec<Value>,
@@ -160,18 +161,18 @@
     logprobs: bool,
 }
 
-/// An order to an engine.
+/// An order that sets the loaded versions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// Orders with a lower fence than one seen before are refused.
+    /// Fencing token; orders with a lower fence than the highest accepted one are refused.
     pub fence: u64,
-    /// The versions that are to be loaded, no others.
+    /// The complete set of versions to load.
     pub versions: BTreeSet<String>,
 }
 
 impl Engine {
-    /// Creates an engine that has nothing loaded.
+    /// Creates an engine without loaded versions.
     pub fn new(name: &str, speed: Speed, quality: Quality) -> Engine {
         Engine(Arc::new(Shared {
             name: name.to_owned(),
@@ -191,47 +192,48 @@
         self.state().versions.insert(version.to_owned());
     }
 
-    /// Counts a request that has come, and returns the seconds of rest for which it is turned away.
-    fn rest(&self) -> Option<f64> {
+    /// Counts a rejection and returns its `Retry-After` in seconds, or `None` if requests are
+    /// accepted.
+    fn reject(&self) -> Option<f64> {
         let mut state = self.state();
-        let rest = state.knobs.rest?;
-        state.turned_away += 1;
-        Some(rest)
+        let retry_after = state.faults.retry_after?;
+        state.rejected += 1;
+        Some(retry_after)
     }
 
-    /// Returns how many requests were turned away.
-    pub fn turned_away(&self) -> u64 {
-        self.state().turned_away
+    /// Returns the number of requests rejected with `Retry-After`.
+    pub fn rejected(&self) -> u64 {
+        self.state().rejected
     }
 
-    /// Sets the switches for faults.
-    pub fn set_knobs(&self, knobs: Knobs) {
-        self.state().knobs = knobs;
+    /// Replaces the faults to inject.
+    pub fn set_faults(&self, faults: Faults) {
+        self.state().faults = faults;
         self.wake();
     }
 
-    /// Returns what every run came to.
-    pub fn ran(&self) -> BTreeMap<String, Ran> {
-        self.state().ran.clone()
+    /// Returns the progress of the runs by id.
+    pub fn runs(&self) -> BTreeMap<String, Progress> {
+        self.state().runs.clone()
     }
 
     fn wake(&self) {
-        // A full channel means that the engine is about to wake anyway.
+        // A full channel already holds a wake-up.
         let _ = self.0.wake.0.try_send(());
     }
 
-    /// Serves on a loopback port that the system chooses, and works.
+    /// Starts the engine and its server on a free loopback port.
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Returns an error if no port can be bound.
     pub async fn serve(&self) -> io::Result<SocketAddr> {
         let (listener, address) = crate::listen().await?;
         self.serve_on(listener);
         Ok(address)
     }
 
-    /// Serves on a listener, and works.
+    /// Starts the engine and its server on a listener.
     pub fn serve_on(&self, listener: async_std::net::TcpListener) {
         task::spawn(http::serve(listener, app(self.clone())));
         let engine = self.clone();
@@ -240,10 +242,10 @@
 
     async fn work(&self) {
         loop {
-            let took = self.step();
-            match took {
-                Some(took) => {
-                    task::sleep(took).await;
+            let duration = self.step();
+            match duration {
+                Some(duration) => {
+                    task::sleep(duration).await;
                     self.finish_step();
                 }
                 None => {
@@ -257,13 +259,14 @@
         }
     }
 
-    /// Fills the batch and works through prompts; returns how long the step
-    /// takes, or `None` if there is nothing to do.
+    /// Fills the batch and prefills prompts. Returns the duration of the step, or `None` if the
+    /// batch
+    /// is empty or the engine frozen.
     fn step(&self) -> Option<Duration> {
         let speed = self.0.speed;
         let mut state = self.state();
         state.drop_orphans();
-        if state.knobs.frozen {
+        if state.faults.frozen {
             return None;
         }
         state.fill(speed.slots, speed.cache);
@@ -276,35 +279,39 @@
             job.prefill_left -= part;
             chunk -= part;
         }
-        let worked = Duration::from_secs_f64((speed.chunk - chunk) / speed.prefill);
+        let prefill_time = Duration::from_secs_f64((speed.chunk - chunk) / speed.prefill);
         let decoding = state.batch.iter().filter(|j| j.prefill_left <= 0.0).count() as u32;
-        Some(speed.base + speed.each * decoding + worked)
+        Some(speed.base + speed.per_request * decoding + prefill_time)
     }
 
-    /// Makes a token for every request whose prompt is done.
+    /// Generates a token for every request whose prompt is prefilled.
     fn finish_step(&self) {
         let mut state = self.state();
-        let close_after = state.knobs.close_after;
+        let close_after = state.faults.close_after;
         let mut ended = Vec::new();
         for job in &mut state.batch {
             if job.prefill_left > 0.0 {
                 continue;
             }
-            job.made += 1;
-            // A listener that is gone is noticed when orphans are dropped.
-            let _ = job.tell.try_send(job.made);
-            let broken = close_after.is_some_and(|n| job.made >= n);
-            if job.made >= job.max_tokens || broken {
-                job.tell.close();
-                ended.push((job.id.clone(), job.made, job.made >= job.max_tokens));
+            job.generated += 1;
+            // `drop_orphans` handles a closed channel.
+            let _ = job.sender.try_send(job.generated);
+            let broken = close_after.is_some_and(|n| job.generated >= n);
+            if job.generated >= job.max_tokens || broken {
+                job.sender.close();
+                ended.push((
+                    job.id.clone(),
+                    job.generated,
+                    job.generated >= job.max_tokens,
+                ));
             }
         }
-        let done = |job: &Job| job.tell.is_closed() && job.orphaned.is_none();
+        let done = |job: &Job| job.sender.is_closed() && job.orphaned_since.is_none();
         state.batch.retain(|job| !done(job));
-        for (id, made, finished) in ended {
-            let ran = state.ran.entry(id).or_default();
-            ran.tokens = made;
-            ran.finished = finished;
+        for (id, generated, finished) in ended {
+            let runs = state.runs.entry(id).or_default();
+            runs.tokens = generated;
+            runs.finished = finished;
         }
         state.report(self.0.speed.report_lag, self.0.speed.slots);
     }
@@ -312,41 +319,41 @@
     fn submit(
         &self,
         id: &str,
-        ask: &Ask,
+        chat: &Chat,
         prompt: &str,
         priority: i64,
         resumable: bool,
     ) -> Receiver<u32> {
-        let (tell, told) = async_channel::unbounded();
-        let blocks = blocks_of(&ask.model, prompt);
+        let (sender, progress) = async_channel::unbounded();
+        let blocks = blocks_of(&chat.model, prompt);
         let mut state = self.state();
-        let ran = state.ran.entry(id.to_owned()).or_default();
-        ran.starts += 1;
-        let order = state.arrivals;
+        let runs = state.runs.entry(id.to_owned()).or_default();
+        runs.starts += 1;
+        let arrival = state.arrivals;
         state.arrivals += 1;
         state.waiting.push(Job {
             id: id.to_owned(),
-            version: ask.model.clone(),
-            prompt_tokens: prompt.len().div_ceil(LETTERS_PER_TOKEN),
+            version: chat.model.clone(),
+            prompt_tokens: prompt.len().div_ceil(BYTES_PER_TOKEN),
             cached: 0,
             blocks,
             prefill_left: 0.0,
-            max_tokens: ask.max_tokens.unwrap_or(256),
-            made: 0,
+            max_tokens: chat.max_tokens.unwrap_or(256),
+            generated: 0,
             priority,
-            order,
-            tell,
-            orphaned: None,
+            arrival,
+            sender,
+            orphaned_since: None,
             resumable,
         });
         drop(state);
         self.wake();
-        told
+        progress
     }
 
-    fn obey(&self, order: &Order) -> Result<(), String> {
+    fn apply(&self, order: &Order) -> Result<(), String> {
         let mut state = self.state();
-        if order.fence < state.fence && !state.knobs.checks_nothing {
+        if order.fence < state.fence && !state.faults.ignore_fences {
             return Err(format!("fence {} was seen before", state.fence));
         }
         state.fence = state.fence.max(order.fence);
@@ -356,17 +363,17 @@
 }
 
 impl State {
-    /// Takes waiting requests into the batch, the most urgent first.
+    /// Moves waiting requests into the batch, by priority and then by arrival.
     fn fill(&mut self, slots: usize, cache: usize) {
-        self.waiting.sort_by_key(|job| (job.priority, job.order));
+        self.waiting.sort_by_key(|job| (job.priority, job.arrival));
         while self.batch.len() < slots && !self.waiting.is_empty() {
             let mut job = self.waiting.remove(0);
             job.cached = self.cached(&job.blocks) * BLOCK;
             job.prefill_left = job.prompt_tokens.saturating_sub(job.cached) as f64;
-            self.remember(&job.blocks, cache);
+            self.cache_blocks(&job.blocks, cache);
             self.batch.push(job);
         }
-        self.batch.sort_by_key(|job| (job.priority, job.order));
+        self.batch.sort_by_key(|job| (job.priority, job.arrival));
     }
 
     fn cached(&self, blocks: &[u64]) -> usize {
@@ -376,7 +383,7 @@
             .count()
     }
 
-    fn remember(&mut self, blocks: &[u64], capacity: usize) {
+    fn cache_blocks(&mut self, blocks: &[u64], capacity: usize) {
         for block in blocks {
             if !self.cache.contains(block) {
                 self.cache.push_back(*block);
@@ -393,17 +400,18 @@
         }
     }
 
-    /// Drops the requests that nobody listens to.
+    /// Drops requests whose caller disconnected; resumable ones after [`RESUME_GRACE`].
     fn drop_orphans(&mut self) {
-        let ran = &mut self.ran;
+        let runs = &mut self.runs;
         let mut keep = |job: &mut Job| {
-            if !job.tell.is_closed() && job.tell.receiver_count() > 0 {
+            if !job.sender.is_closed() && job.sender.receiver_count() > 0 {
                 return true;
             }
-            let since = *job.orphaned.get_or_insert_with(Instant::now);
-            let kept = job.resumable && since.elapsed() < RESUME_GRACE && job.made < job.max_tokens;
+            let since = *job.orphaned_since.get_or_insert_with(Instant::now);
+            let kept =
+                job.resumable && since.elapsed() < RESUME_GRACE && job.generated < job.max_tokens;
             if !kept {
-                ran.entry(job.id.clone()).or_default().tokens = job.made;
+                runs.entry(job.id.clone()).or_default().tokens = job.generated;
             }
             kept
         };
@@ -432,12 +440,12 @@
     };
     prompt
         .as_bytes()
-        .chunks_exact(BLOCK * LETTERS_PER_TOKEN)
+        .chunks_exact(BLOCK * BYTES_PER_TOKEN)
         .map(block)
         .collect()
 }
 
-/// Returns the prompt that a list of messages makes.
+/// Joins the contents of messages to a prompt.
 pub fn prompt_of(messages: &[Value]) -> String {
     let contents = messages.iter().filter_map(|m| m["content"].as_str());
     contents.collect::<Vec<_>>().join("\n")
@@ -451,8 +459,8 @@
     app.at("/load").get(load);
     app.at("/cache-events").get(cache_events);
     app.at("/orders").post(orders);
-    app.at("/knobs").post(knobs);
-    app.at("/ran").get(ran);
+    app.at("/knobs").post(faults);
+    app.at("/ran").get(runs);
     app
 }
 
@@ -462,48 +470,48 @@
 }
 
 async fn complete(mut request: Request<Engine>) -> tide::Result {
-    let ask: Ask = match request.body_json().await {
-        Ok(ask) => ask,
+    let chat: Chat = match request.body_json().await {
+        Ok(chat) => chat,
         Err(e) => return Ok(failure(400, &e.to_string())),
     };
     let engine = request.state().clone();
-    let given = |name: &str| request.header(name).map(|v| v.as_str().to_owned());
-    let id = given(header::RUN).unwrap_or_else(|| "none".into());
-    let priority = given(header::PRIORITY).and_then(|v| v.parse().ok());
-    let resumable = given("x-resumable").is_some();
-    if let Some(rest) = engine.rest() {
+    let header_value = |name: &str| request.header(name).map(|v| v.as_str().to_owned());
+    let id = header_value(header::RUN).unwrap_or_else(|| "none".into());
+    let priority = header_value(header::PRIORITY).and_then(|v| v.parse().ok());
+    let resumable = header_value("x-resumable").is_some();
+    if let Some(retry_after) = engine.reject() {
         let mut response = failure(503, "the engine rests");
-        response.insert_header(header::RETRY_AFTER, rest.to_string());
+        response.insert_header(header::RETRY_AFTER, retry_after.to_string());
         return Ok(response);
     }
     let (fails, foreign, loaded) = {
         let state = engine.state();
-        let fails = text::unit(&id, 7) < state.knobs.fail;
+        let fails = text::unit(&id, 7) < state.faults.fail;
         (
             fails,
-            state.knobs.foreign,
-            state.versions.contains(&ask.model),
+            state.faults.foreign,
+            state.versions.contains(&chat.model),
         )
     };
     if !loaded {
-        return Ok(failure(404, &format!("{} is not loaded", ask.model)));
+        return Ok(failure(404, &format!("{} is not loaded", chat.model)));
     }
     if fails {
         return Ok(failure(500, "the engine failed"));
     }
-    let prompt = prompt_of(&ask.messages);
-    let told = engine.submit(&id, &ask, &prompt, priority.unwrap_or(0), resumable);
-    let shown = if foreign {
+    let prompt = prompt_of(&chat.messages);
+    let progress = engine.submit(&id, &chat, &prompt, priority.unwrap_or(0), resumable);
+    let shown_id = if foreign {
         "somebody-else".to_owned()
     } else {
         id
     };
-    let answer = Answer::new(&engine, shown, &ask, &prompt);
-    if ask.stream {
-        return Ok(answer.stream(told));
+    let answer = Answer::new(&engine, shown_id, &chat, &prompt);
+    if chat.stream {
+        return Ok(answer.stream(progress));
     }
     let connection = request.ext::<TcpStream>().cloned();
-    answer.whole(told, connection).await
+    answer.respond(progress, connection).await
 }
 
 async fn resume(request: Request<Engine>) -> tide::Result {
@@ -515,30 +523,30 @@
     let id = request.param("id")?.to_owned();
     let from: From = request.query()?;
     let engine = request.state().clone();
-    let (tell, told) = async_channel::unbounded();
+    let (sender, progress) = async_channel::unbounded();
     let resumed = {
         let mut state = engine.state();
         let job = state.batch.iter_mut().find(|job| job.id == id);
         job.map(|job| {
-            let _ = tell.try_send(job.made);
-            job.tell = tell;
-            job.orphaned = None;
+            let _ = sender.try_send(job.generated);
+            job.sender = sender;
+            job.orphaned_since = None;
             (job.version.clone(), job.max_tokens)
         })
     };
     let Some((model, max_tokens)) = resumed else {
         return Ok(failure(404, "there is no such run"));
     };
-    let ask = Ask {
+    let chat = Chat {
         model,
         messages: Vec::new(),
         stream: true,
         max_tokens: Some(max_tokens),
         logprobs: false,
     };
-    let mut answer = Answer::new(&engine, id, &ask, &from.prompt);
+    let mut answer = Answer::new(&engine, id, &chat, &from.prompt);
     answer.sent = from.from;
-    Ok(answer.stream(told))
+    Ok(answer.stream(progress))
 }
 
 async fn models(request: Request<Engine>) -> tide::Result {
@@ -570,30 +578,30 @@
         Ok(order) => order,
         Err(e) => return Ok(failure(400, &e.to_string())),
     };
-    match request.state().obey(&order) {
+    match request.state().apply(&order) {
         Ok(()) => Ok(json!({"fence": order.fence}).into()),
         Err(message) => Ok(failure(409, &message)),
     }
 }
 
-async fn knobs(mut request: Request<Engine>) -> tide::Result {
-    let knobs: Knobs = match request.body_json().await {
-        Ok(knobs) => knobs,
+async fn faults(mut request: Request<Engine>) -> tide::Result {
+    let faults: Faults = match request.body_json().await {
+        Ok(faults) => faults,
         Err(e) => return Ok(failure(400, &e.to_string())),
     };
-    request.state().set_knobs(knobs);
+    request.state().set_faults(faults);
     Ok(Response::new(204))
 }
 
-async fn ran(request: Request<Engine>) -> tide::Result {
-    Ok(Body::from_json(&request.state().ran())?.into())
+async fn runs(request: Request<Engine>) -> tide::Result {
+    Ok(Body::from_json(&request.state().runs())?.into())
 }
 
 fn broken(data: Vec<u8>) -> Piece {
     Piece { data, broken: true }
 }
 
-/// An answer on its way out.
+/// An answer that is being sent.
 struct Answer {
     id: String,
     model: String,
@@ -606,30 +614,30 @@
 }
 
 impl Answer {
-    fn new(engine: &Engine, id: String, ask: &Ask, prompt: &str) -> Answer {
+    fn new(engine: &Engine, id: String, chat: &Chat, prompt: &str) -> Answer {
         let seed = text::seed(prompt);
-        let sure = ask
+        let confidence = chat
             .logprobs
-            .then(|| engine.0.quality.confidence(&ask.model, seed));
-        let blocks = blocks_of(&ask.model, prompt);
+            .then(|| engine.0.quality.confidence(&chat.model, seed));
+        let blocks = blocks_of(&chat.model, prompt);
         let cached = engine.state().cached(&blocks) * BLOCK;
         Answer {
             id: format!("chatcmpl-{id}"),
-            model: ask.model.clone(),
-            words: Words::new(&ask.model, prompt),
-            prompt_tokens: prompt.len().div_ceil(LETTERS_PER_TOKEN),
+            model: chat.model.clone(),
+            words: Words::new(&chat.model, prompt),
+            prompt_tokens: prompt.len().div_ceil(BYTES_PER_TOKEN),
             cached,
-            max_tokens: ask.max_tokens.unwrap_or(256),
-            confidence: sure,
+            max_tokens: chat.max_tokens.unwrap_or(256),
+            confidence,
             sent: 0,
         }
     }
 
-    fn usage(&self, made: u32) -> Value {
+    fn usage(&self, generated: u32) -> Value {
         json!({
             "prompt_tokens": self.prompt_tokens,
-            "completion_tokens": made,
-            "total_tokens": self.prompt_tokens + made as usize,
+            "completion_tokens": generated,
+            "total_tokens": self.prompt_tokens + generated as usize,
             "prompt_tokens_details": {"cached_tokens": self.cached},
         })
     }
@@ -639,8 +647,8 @@
         response.insert_header(header::RUN, run);
     }
 
-    /// Returns the event of one token. It is written by hand because an engine
-    /// makes many thousands in a second.
+    /// Returns the event of one token. It is formatted without `serde_json` because an engine sends
+    /// many thousands per second.
     fn event(&self, i: u32) -> String {
         format!(
             "data: {{\"id\":\"{}\",\"object\":\"chat.completion.chunk\",\"created\":0,\"model\":\"{}\",\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{}\"}},\"finish_reason\":null}}]}}\n\n",
@@ -662,14 +670,14 @@
         format!("data: {last}\n\ndata: [DONE]\n\n")
     }
 
-    fn stream(self, told: Receiver<u32>) -> Response {
+    fn stream(self, progress: Receiver<u32>) -> Response {
         let mut response = Response::new(200);
         self.headers(&mut response);
         response.insert_header("content-type", "text/event-stream");
         let (send, parts) = async_channel::bounded(64);
         task::spawn(async move {
-            // A caller that is gone ends the answer, and so the run.
-            let _ = self.feed(told, &send).await;
+            // Fails if the caller disconnected; dropping the receiver then ends the run.
+            let _ = self.feed(progress, &send).await;
         });
         response.set_body(Body::from_reader(Stream::new(parts, |piece| piece), None));
         response
@@ -677,15 +685,15 @@
 
     async fn feed(
         mut self,
-        told: Receiver<u32>,
+        progress: Receiver<u32>,
         parts: &Sender<Piece>,
     ) -> Result<(), async_channel::SendError<Piece>> {
         while self.sent < self.max_tokens {
-            let Ok(made) = told.recv().await else {
+            let Ok(generated) = progress.recv().await else {
                 return parts.send(broken(Vec::new())).await;
             };
             let mut buf = String::new();
-            while self.sent < made {
+            while self.sent < generated {
                 buf.push_str(&self.event(self.sent));
                 self.sent += 1;
             }
@@ -694,35 +702,35 @@
         parts.send(self.last_events().into_bytes().into()).await
     }
 
-    async fn whole(self, told: Receiver<u32>, connection: Option<TcpStream>) -> tide::Result {
-        let made = async {
-            let mut made = 0;
-            while let Ok(n) = told.recv().await {
-                made = n;
+    async fn respond(self, progress: Receiver<u32>, connection: Option<TcpStream>) -> tide::Result {
+        let generated = async {
+            let mut generated = 0;
+            while let Ok(n) = progress.recv().await {
+                generated = n;
             }
-            Some(made)
+            Some(generated)
         };
-        let gone = async {
+        let disconnected = async {
             match &connection {
                 Some(stream) => http::closed(stream).await,
                 None => futures_lite::future::pending().await,
             }
             None
         };
-        let Some(made) = made.or(gone).await else {
+        let Some(generated) = generated.or(disconnected).await else {
             return Ok(failure(499, "the caller went away"));
         };
-        if made < self.max_tokens {
-            return Ok(self.cut());
+        if generated < self.max_tokens {
+            return Ok(self.truncated());
         }
-        let content: String = (0..made).map(|i| self.words.word(i)).collect();
+        let content: String = (0..generated).map(|i| self.words.word(i)).collect();
         let mut choice = json!({
             "index": 0,
             "message": {"role": "assistant", "content": content},
             "finish_reason": "stop",
         });
-        if let Some(sure) = self.confidence {
-            let tokens = json!([{"token": "", "logprob": sure.ln()}]);
+        if let Some(confidence) = self.confidence {
+            let tokens = json!([{"token": "", "logprob": confidence.ln()}]);
             choice["logprobs"] = json!({"content": tokens});
         }
         let body = json!({
@@ -731,7 +739,7 @@
             "created": 0,
             "model": self.model,
             "choices": [choice],
-            "usage": self.usage(made),
+            "usage": self.usage(generated),
         });
         let mut response = Response::new(200);
         self.headers(&mut response);
@@ -739,10 +747,10 @@
         Ok(response)
     }
 
-    /// Returns an answer that promises more than it holds.
-    fn cut(self) -> Response {
+    /// Returns an answer whose body breaks off before its end.
+    fn truncated(self) -> Response {
         let (send, parts) = async_channel::bounded(1);
-        // The channel is new, so there is room.
+        // Cannot fail: the channel is new and has capacity.
         let _ = send.try_send(broken(b"{\"id\": \"".to_vec()));
         let mut response = Response::new(200);
         self.headers(&mut response);
--- a/crates/emulator/src/notice/mod.rs
+++ b/crates/emulator/src/notice/mod.rs
@@ -1,19 +1,20 @@
-//! Whole days of several entries before upstreams that say of themselves that they leave,
-//! want rest or take only so many requests a second, without sockets.
+//! Simulates several entries with upstreams that announce that they leave, ask for a pause or limit
+//! their request rate.
 //!
-//! The decisions are those of the daemon ([`sorreldeck::entry`]); time is passed by hand.
+//! The decisions are those of the daemon ([`sorreldeck::entry`]); time is virtual and no sockets
+//! are used.
 //!
 //! ```
-//! use sorreldeck_emulator::notice::{Day, World};
+//! use sorreldeck_emulator::notice::{Scenario, World};
 //!
-//! let tally = World::new(Day::default(), 1).play();
+//! let tally = World::new(Scenario::default(), 1).run();
 //! assert!(tally.served() > 0.99);
 //! ```
 
-mod day;
+mod scenario;
 mod tally;
 mod world;
 
-pub use day::{Day, Says, Trouble};
-pub use tally::{Asked, Limited, Tally};
+pub use scenario::{Period, Scenario, Signal};
+pub use tally::{Limited, Request, Tally};
 pub use world::World;
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in behind HTTP and JSON, with its switches for faults.
+//! Serves the emulated platform over HTTP and JSON, with endpoints that inject faults.
 
 use crate::quality::{Quality, Skill};
 use crate::text;
@@ -17,9 +17,9 @@
     quality: Quality,
 }
 
-/// Serves a platform on a listener; answers are rated by their quality.
+/// Serves a platform on a listener; answers are rated by the quality of their version.
 pub fn serve_on(listener: TcpListener, memory: Arc<Memory>, quality: Quality) {
-    rate_by(&memory, quality.clone());
+    install_rater(&memory, quality.clone());
     let mut app = tide::with_state(State { memory, quality });
     app.at("/table/row/*key").get(get);
     app.at("/table/list/").get(list);
@@ -36,7 +36,7 @@
 }
 
 /// Makes a platform rate answers by the quality of their version.
-pub fn rate_by(memory: &Memory, quality: Quality) {
+pub fn install_rater(memory: &Memory, quality: Quality) {
     memory.set_rater(move |answer| {
         let seed = text::seed_of(&answer.text)?;
         Some(quality.score(answer.version.as_str(), seed))
@@ -83,7 +83,7 @@
     match request.state().memory.get_object(&key(&request)).await {
         Ok(Some(data)) => Ok(Response::builder(200).body(data).build()),
         Ok(None) => Ok(Response::new(404)),
-        Err(trouble) => reply::<()>(Err(trouble)),
+        Err(error) => reply::<()>(Err(error)),
     }
 }
 
