--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -1,5 +1,5 @@
-//! The cost of one routing decision at the target size: 23 versions, 1,000
-//! nodes, and upstreams of which an entry links only a subset.
+//! Benchmark of one routing decision with 23 versions, 1,001 nodes and 30 to 2,400 upstreams, of
+//! which an entry is linked to a subset.
 //!
 //! `cargo bench -p sorreldeck`
 
@@ -17,7 +17,7 @@
 const ROUTES: usize = 4;
 const ENTRIES: usize = 360;
 
-/// Makes a tree of 1,001 nodes.
+/// Returns a configuration with 1,001 nodes.
 fn tree() -> Arc<Tree> {
     let mut text = String::from("[pools.engines]\nkind = \"engine\"\n[models.m]\nsplit = { v-0 = \"60%\", v-1 = \"40%\" }\n[nodes.\"/\"]\n");
     let mut names = Vec::new();
@@ -74,7 +74,7 @@
 }
 
 fn decide(entry: &mut Entry, chat: &Chat, number: u64) {
-    let ask = Request {
+    let request = Request {
         request: RequestId::new(1, number),
         key: Some(format!("key-{}", number as usize % ACCOUNTS)),
         route: Some("r1".into()),
@@ -85,7 +85,7 @@
         payload: Payload::Chat(Box::new(chat.clone())),
     };
     let now = Time(number * 1000);
-    let outputs = entry.handle(now, Input::Request(Box::new(ask)));
+    let outputs = entry.handle(now, Input::Request(Box::new(request)));
     for output in outputs {
         let Output::Send(link, Frame::Start(start)) = output else {
             continue;
--- a/crates/core/tests/availability.rs
+++ b/crates/core/tests/availability.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::stand::Stand;
+use common::stand::Harness;
 use sorreldeck::entry::{Input, Reply};
 use sorreldeck::notice::Notice;
 use sorreldeck::{Failure, Rate, Reason, Span};
@@ -22,11 +22,11 @@
 #[test_case(sends_notice(Notice { limit: Some(Rate::from_per_second(0.5)), ..Notice::default() }), "part of 0.50/s, next in 1500ms")]
 #[test_case(fails_once(), "passed over for 250ms")]
 fn description_gives_the_reason_and_duration(replies: Vec<Reply>, expected: &str) {
-    let mut stand = Stand::new(2);
-    let run = stand.reach(2);
+    let mut harness = Harness::new(2);
+    let run = harness.request_at(2);
     for reply in replies {
-        stand.tell(Input::Reply(2, run, reply));
+        harness.handle(Input::Reply(2, run, reply));
     }
-    let work = stand.entry.peers().availability(2, stand.now).unwrap();
+    let work = harness.entry.peers().availability(2, harness.now).unwrap();
     assert_eq!(work.to_string(), expected);
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What tests of routed requests build alike.
+//! Helpers shared by the tests of routed requests.
 
-// Each program of tests uses a part of these.
+// Each test binary uses only some of these.
 #[allow(unused_imports)]
 pub use sorreldeck_emulator::routed::{ask, entry, head, member, routed, streams, tree};
 
@@ -14,7 +14,7 @@
 #[allow(dead_code)]
 pub mod stand;
 
-/// Returns where a request was sent, if it was.
+/// Returns the link and the run of the first start frame among the outputs.
 #[allow(dead_code)]
 pub fn sent(outputs: &[Output]) -> Option<(Link, Run)> {
     outputs.iter().find_map(|output| match output {
@@ -23,7 +23,7 @@
     })
 }
 
-/// Returns why a request was refused, or failed.
+/// Returns the failure with which a request was refused or ended.
 #[allow(dead_code)]
 pub fn failure(outputs: &[Output]) -> Option<&Failure> {
     outputs.iter().find_map(|output| match output {
--- a/crates/core/tests/common/own.rs
+++ b/crates/core/tests/common/own.rs
@@ -1,4 +1,4 @@
-//! Entries and sidecars of the own interface, before one plain service.
+//! Entries and sidecars that speak the native protocol, in front of one plain service.
 
 use sorreldeck::entry::{Entry, Input, Payload, Request};
 use sorreldeck::sidecar::{Settings, Sidecar};
@@ -16,7 +16,7 @@
     services = ["clock"]
 "#;
 
-/// Returns an entry that has the tree of the service.
+/// Returns an entry with a configuration that contains only the service.
 pub fn entry(number: u64, at: Time) -> Entry {
     let mut entry = super::entry(number, number);
     let text = TREE.replace('@', &sorreldeck::tree::hash_key("key"));
@@ -48,7 +48,7 @@
     }
 }
 
-/// Returns what asks an entry for a call; `once` says that it may run once.
+/// Returns a request for a call; with `once` it may run at most once.
 pub fn ask(number: u64, path: &str, once: bool) -> Input {
     Input::Request(Box::new(Request {
         request: RequestId::new(1, number),
--- a/crates/core/tests/common/stand.rs
+++ b/crates/core/tests/common/stand.rs
@@ -1,4 +1,4 @@
-//! One entry before upstreams that are called directly.
+//! One entry in front of upstreams that it calls directly, without sidecars.
 
 use super::{ask, entry, member, routed, sent, streams};
 use sorreldeck::entry::{Entry, Input, Output};
@@ -7,28 +7,28 @@
 use sorreldeck::{Incarnation, RequestId, Span, Time};
 use std::collections::BTreeSet;
 
-/// An entry before some upstreams.
-pub struct Stand {
+/// An entry with linked upstreams and a clock that advances 1 ms with each input.
+pub struct Harness {
     pub entry: Entry,
     pub now: Time,
     next: u64,
 }
 
-impl Stand {
-    pub fn new(upstreams: u64) -> Stand {
-        let mut stand = Stand {
+impl Harness {
+    pub fn new(upstreams: u64) -> Harness {
+        let mut harness = Harness {
             entry: entry(1, 7),
             now: Time(1_000_000),
             next: 0,
         };
-        stand.tell(streams(""));
+        harness.handle(streams(""));
         for link in 1..=upstreams {
-            stand.join(link, link, 1);
+            harness.join(link, link, 1);
         }
-        stand
+        harness
     }
 
-    pub fn tell(&mut self, input: Input) -> Vec<Output> {
+    pub fn handle(&mut self, input: Input) -> Vec<Output> {
         self.now = self.now + Span::from_millis(1);
         self.entry.handle(self.now, input)
     }
@@ -38,26 +38,26 @@
             incarnation: Some(Incarnation(start)),
             ..Placement::default()
         };
-        self.tell(Input::Join(link, Box::new(member(name, place, 8))));
+        self.handle(Input::Join(link, Box::new(member(name, place, 8))));
     }
 
-    pub fn ask(&mut self) -> Vec<Output> {
+    pub fn send_request(&mut self) -> Vec<Output> {
         self.next += 1;
         let call = routed(format!("r{}", self.next), "/drafts/1");
-        self.tell(ask(RequestId::new(1, self.next), None, call))
+        self.handle(ask(RequestId::new(1, self.next), None, call))
     }
 
-    /// Asks until the upstream at a link is chosen.
-    pub fn reach(&mut self, link: Link) -> Run {
-        let mut runs = (0..100).filter_map(|_| sent(&self.ask()));
+    /// Sends requests until the upstream at a link is chosen; returns that run.
+    pub fn request_at(&mut self, link: Link) -> Run {
+        let mut runs = (0..100).filter_map(|_| sent(&self.send_request()));
         let found = runs.find(|(at, _)| *at == link);
         found.expect("each upstream gets work").1
     }
 
-    /// Returns the links to which the next requests go: so many that one which was asked less
-    /// often before makes up for it.
-    pub fn reached(&mut self) -> Vec<Link> {
-        let starts = (0..240).filter_map(|_| sent(&self.ask()));
+    /// Returns the links to which the next 240 requests go. The number is large enough that an
+    /// upstream with fewer requests so far is chosen as well.
+    pub fn links_in_use(&mut self) -> Vec<Link> {
+        let starts = (0..240).filter_map(|_| sent(&self.send_request()));
         let reached: BTreeSet<Link> = starts.map(|(link, _)| link).collect();
         reached.into_iter().collect()
     }
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data halls that get no work: whatever looks for an upstream finds none there.
+//! Evacuation of data halls: no attempt of a request, new or repeated, is sent to an evacuated one.
 
 mod common;
 
@@ -11,12 +11,12 @@
 use std::collections::BTreeSet;
 use test_case::test_case;
 
-/// What the route of the streams has besides.
+/// Settings added to the route of the streams.
 const SIZES: &str = r#"sizes = ["small", "large"]"#;
 
 /// An entry in data hall `a`, with three upstreams in each of three data halls: link 1 is in
 /// `a`, 2 in `b`, 3 in `c` and so on.
-struct Stand {
+struct Harness {
     entry: Entry,
     now: Time,
     next: u64,
@@ -54,21 +54,21 @@
     })
 }
 
-impl Stand {
-    fn new() -> Stand {
-        let mut stand = Stand {
+impl Harness {
+    fn new() -> Harness {
+        let mut harness = Harness {
             entry: common::entry(1, 7),
             now: Time(1_000_000),
             next: 0,
         };
-        stand.tell(common::streams(SIZES));
+        harness.handle(common::streams(SIZES));
         for link in 1..=9 {
-            stand.join(link, "v1");
+            harness.join(link, "v1");
         }
-        stand
+        harness
     }
 
-    fn tell(&mut self, input: Input) -> Vec<Output> {
+    fn handle(&mut self, input: Input) -> Vec<Output> {
         self.entry.handle(self.now, input)
     }
 
@@ -80,30 +80,30 @@
             region: None,
         };
         let member = common::member(link, place, 8);
-        self.tell(Input::Join(link, Box::new(member)));
+        self.handle(Input::Join(link, Box::new(member)));
     }
 
     fn evacuate(&mut self, names: &str) {
-        self.tell(Input::Evacuate(halls(names)));
+        self.handle(Input::Evacuate(halls(names)));
     }
 
-    fn ask(&mut self) -> Vec<Output> {
+    fn send_request(&mut self) -> Vec<Output> {
         self.next += 1;
         let request = RequestId::new(1, self.next);
         let path = format!("/drafts/{}", self.next);
         let mut routed = common::routed(format!("r{}", self.next), &path);
         routed.any_model = true;
-        self.tell(common::ask(request, None, routed))
+        self.handle(common::ask(request, None, routed))
     }
 
     fn reply(&mut self, sent: Sent, reply: Reply) -> Vec<Output> {
-        self.tell(Input::Reply(sent.link, sent.run, reply))
+        self.handle(Input::Reply(sent.link, sent.run, reply))
     }
 
-    /// Asks until the request is at an upstream of a data hall.
-    fn ask_in(&mut self, name: &str) -> Sent {
+    /// Sends requests until one goes to an upstream of a data hall; returns that run.
+    fn request_in(&mut self, name: &str) -> Sent {
         for _ in 0..100 {
-            let sent = sent(&self.ask()).unwrap();
+            let sent = sent(&self.send_request()).unwrap();
             if hall_of(sent.link).as_str() == name {
                 return sent;
             }
@@ -111,9 +111,9 @@
         panic!("no request went to {name}");
     }
 
-    /// Returns the data halls to which 60 requests go that are under way together.
-    fn reached(&mut self) -> BTreeSet<Hall> {
-        let runs: Vec<Sent> = (0..60).filter_map(|_| sent(&self.ask())).collect();
+    /// Returns the data halls to which 60 concurrent requests go.
+    fn halls_in_use(&mut self) -> BTreeSet<Hall> {
+        let runs: Vec<Sent> = (0..60).filter_map(|_| sent(&self.send_request())).collect();
         for run in &runs {
             self.reply(*run, answered(200, Some(0.9)));
             self.reply(*run, Reply::End);
@@ -135,99 +135,112 @@
 #[test_case("a", "bc")]
 #[test_case("b", "ac")]
 #[test_case("ab", "c"; "two at once")]
-fn nothing_new_goes_to_an_emptied_data_hall(emptied: &str, left: &str) {
-    let mut stand = Stand::new();
-    stand.evacuate(emptied);
-    assert_eq!(stand.reached(), halls(left));
-    stand.evacuate("");
-    assert_eq!(stand.reached(), halls("abc"), "it is taken back");
+fn evacuated_data_halls_get_no_new_requests(evacuated: &str, remaining: &str) {
+    let mut harness = Harness::new();
+    harness.evacuate(evacuated);
+    assert_eq!(harness.halls_in_use(), halls(remaining));
+    harness.evacuate("");
+    assert_eq!(
+        harness.halls_in_use(),
+        halls("abc"),
+        "after the evacuation has been revoked"
+    );
 }
 
-/// Taken back and ordered anew in quick succession; the last order holds.
+/// Evacuations are ordered and revoked in quick succession; the last command applies.
 #[test]
-fn the_last_order_holds() {
-    let mut stand = Stand::new();
+fn the_last_evacuation_applies() {
+    let mut harness = Harness::new();
     for names in ["a", "", "ab", "b", "", "a"] {
-        stand.evacuate(names);
+        harness.evacuate(names);
     }
-    assert_eq!(stand.reached(), halls("bc"));
-    let emptied = format!("{SIZES}\n[halls.b]\nevacuated = true");
-    stand.tell(common::streams(&emptied));
-    assert_eq!(stand.reached(), halls("c"), "the configuration empties one");
-    stand.evacuate("");
-    assert_eq!(stand.reached(), halls("ac"), "and goes on to");
+    assert_eq!(harness.halls_in_use(), halls("bc"));
+    let evacuated = format!("{SIZES}\n[halls.b]\nevacuated = true");
+    harness.handle(common::streams(&evacuated));
+    assert_eq!(
+        harness.halls_in_use(),
+        halls("c"),
+        "the configuration evacuates b in addition"
+    );
+    harness.evacuate("");
+    assert_eq!(
+        harness.halls_in_use(),
+        halls("ac"),
+        "b stays evacuated by the configuration"
+    );
 }
 
 #[test]
-fn an_upstream_that_joins_an_emptied_data_hall_gets_nothing() {
-    let mut stand = Stand::new();
-    stand.evacuate("a");
-    stand.join(10, "v1");
-    assert_eq!(stand.reached(), halls("bc"));
+fn an_upstream_that_joins_an_evacuated_data_hall_gets_no_requests() {
+    let mut harness = Harness::new();
+    harness.evacuate("a");
+    harness.join(10, "v1");
+    assert_eq!(harness.halls_in_use(), halls("bc"));
 }
 
 #[test]
-fn what_runs_there_ends_in_peace() {
-    let mut stand = Stand::new();
-    let run = stand.ask_in("a");
-    stand.evacuate("a");
-    let outputs = stand.reply(run, answered(200, Some(0.9)));
-    let given = |o: &Output| matches!(o, Output::Answer(_, Part::Head { status: 200, .. }));
-    assert!(outputs.iter().any(given));
-    let outputs = stand.reply(run, Reply::End);
+fn running_requests_complete_after_an_evacuation() {
+    let mut harness = Harness::new();
+    let run = harness.request_in("a");
+    harness.evacuate("a");
+    let outputs = harness.reply(run, answered(200, Some(0.9)));
+    let is_head = |o: &Output| matches!(o, Output::Answer(_, Part::Head { status: 200, .. }));
+    assert!(outputs.iter().any(is_head));
+    let outputs = harness.reply(run, Reply::End);
     assert!(outputs
         .iter()
         .any(|o| matches!(o, Output::Answer(_, Part::End))));
 }
 
-/// What is sent once more looks for an upstream like everything else.
-#[test_case(|stand, run| stand.reply(run, Reply::Fail(Failure::not_run(Reason::Overloaded, "full"))); "refused")]
-#[test_case(|stand, run| stand.reply(run, Reply::Fail(Failure::new(Reason::UpstreamLost, Verdict::MayHaveRun, "gone"))); "lost")]
-#[test_case(|stand, run| stand.reply(run, answered(500, None)); "an error")]
-#[test_case(|stand, run| stand.reply(run, answered(200, Some(0.0))); "the larger model")]
-#[test_case(|stand, run| {
-    stand.reply(run, answered(200, Some(0.9)));
-    stand.reply(run, Reply::Data { data: b"id: 3\n\n".to_vec(), last_event: Some(3) });
-    stand.reply(run, Reply::Fail(Failure::new(Reason::UpstreamFailed, Verdict::Ran, "broke off")))
+/// Each row is a reason for a further attempt: a refusal, a lost upstream, an error, escalation to
+/// the larger model, and the continuation of a stream.
+#[test_case(|harness, run| harness.reply(run, Reply::Fail(Failure::not_run(Reason::Overloaded, "full"))); "refused")]
+#[test_case(|harness, run| harness.reply(run, Reply::Fail(Failure::new(Reason::UpstreamLost, Verdict::MayHaveRun, "gone"))); "lost")]
+#[test_case(|harness, run| harness.reply(run, answered(500, None)); "an error")]
+#[test_case(|harness, run| harness.reply(run, answered(200, Some(0.0))); "the larger model")]
+#[test_case(|harness, run| {
+    harness.reply(run, answered(200, Some(0.9)));
+    harness.reply(run, Reply::Data { data: b"id: 3\n\n".to_vec(), last_event: Some(3) });
+    harness.reply(run, Reply::Fail(Failure::new(Reason::UpstreamFailed, Verdict::Ran, "broke off")))
 }; "a stream that goes on")]
-fn what_is_sent_once_more_goes_elsewhere(play: fn(&mut Stand, Sent) -> Vec<Output>) {
+fn further_attempts_avoid_evacuated_data_halls(play: fn(&mut Harness, Sent) -> Vec<Output>) {
     for _ in 0..20 {
-        let mut stand = Stand::new();
+        let mut harness = Harness::new();
         for _ in 0..60 {
-            stand.ask();
+            harness.send_request();
         }
-        let run = stand.ask_in("b");
-        stand.evacuate("ab");
-        let outputs = play(&mut stand, run);
-        let again = sent(&outputs).expect("it is sent once more");
+        let run = harness.request_in("b");
+        harness.evacuate("ab");
+        let outputs = play(&mut harness, run);
+        let again = sent(&outputs).expect("a further attempt is sent");
         assert_eq!(hall_of(again.link).as_str(), "c");
     }
 }
 
-/// The order is kept where it leaves nothing: what is asked is refused at once and did not run.
+/// An evacuation of all data halls is carried out as well: requests are refused at once as not run.
 #[test]
-fn where_all_are_emptied_requests_are_refused_at_once() {
-    let mut stand = Stand::new();
-    stand.evacuate("abc");
-    let outputs = stand.ask();
+fn requests_are_refused_at_once_if_all_data_halls_are_evacuated() {
+    let mut harness = Harness::new();
+    harness.evacuate("abc");
+    let outputs = harness.send_request();
     assert!(sent(&outputs).is_none());
     let refusal = refusal(&outputs).expect("it is refused at once");
     assert_eq!(refusal.verdict, Verdict::NotRun);
     assert!(refusal.retry_after.is_some());
     assert!(
-        stand.entry.is_ready(),
-        "callers are told so by an entry that is there"
+        harness.entry.is_ready(),
+        "the entry stays ready, so that it can refuse requests"
     );
-    stand.evacuate("bc");
-    assert_eq!(stand.reached(), halls("a"));
+    harness.evacuate("bc");
+    assert_eq!(harness.halls_in_use(), halls("a"));
 }
 
-/// A release on trial whose upstreams are only where nothing may go is not tried there.
+/// A release on trial gets no requests while all of its upstreams are in an evacuated data hall.
 #[test]
-fn a_release_is_not_tried_in_an_emptied_data_hall() {
-    let mut stand = Stand::new();
+fn a_release_is_not_tried_in_an_evacuated_data_hall() {
+    let mut harness = Harness::new();
     for link in [10, 13, 16] {
-        stand.join(link, "v2");
+        harness.join(link, "v2");
     }
     let order = Order {
         pool: "engines".parse().unwrap(),
@@ -235,11 +248,11 @@
         duration: Span::from_millis(24_000),
         issued: 7.into(),
     };
-    let began = stand.now;
-    stand.tell(Input::Move(order, Some(State::Running), Some(began)));
-    stand.evacuate("a");
+    let start = harness.now;
+    harness.handle(Input::Move(order, Some(State::Running), Some(start)));
+    harness.evacuate("a");
     for _ in 0..24 {
-        stand.now = stand.now + Span::from_millis(1_000);
-        assert_eq!(stand.reached(), halls("bc"));
+        harness.now = harness.now + Span::from_millis(1_000);
+        assert_eq!(harness.halls_in_use(), halls("bc"));
     }
 }
--- a/crates/core/tests/leaving_in_answers.rs
+++ b/crates/core/tests/leaving_in_answers.rs
@@ -8,7 +8,7 @@
 
 mod common;
 
-use common::stand::Stand;
+use common::stand::Harness;
 use common::{failure, head, sent};
 use sorreldeck::entry::{Input, Output, Reply};
 use sorreldeck::notice::{Change, Notice, Update};
@@ -57,18 +57,18 @@
 #[test_case(&[head(200), Reply::Notice(LEAVES, None)]; "a notice after the head")]
 fn the_notice_counts_in_every_kind_of_answer(replies: &[Reply]) {
     for is_disconnected in [false, true] {
-        let mut stand = Stand::new(3);
-        let run = stand.reach(2);
+        let mut harness = Harness::new(3);
+        let run = harness.request_at(2);
         if is_disconnected {
-            stand.tell(Input::Disconnected(run.request));
+            harness.handle(Input::Disconnected(run.request));
         }
         for reply in replies {
-            stand.tell(Input::Reply(2, run, reply.clone()));
+            harness.handle(Input::Reply(2, run, reply.clone()));
         }
         // An upstream that is skipped for a while after a failure gets requests again by then.
-        stand.now = stand.now + Span::from_millis(60_000);
+        harness.now = harness.now + Span::from_millis(60_000);
         assert_eq!(
-            stand.reached(),
+            harness.links_in_use(),
             [1, 3],
             "client disconnected: {is_disconnected}"
         );
@@ -77,11 +77,11 @@
 
 #[test]
 fn other_entries_get_the_notice_once() {
-    let mut stand = Stand::new(3);
-    let run = stand.reach(2);
+    let mut harness = Harness::new(3);
+    let run = harness.request_at(2);
     let mut updates = Vec::new();
     for _ in 0..2 {
-        let outputs = stand.tell(Input::Reply(2, run, Reply::Notice(LEAVES, None)));
+        let outputs = harness.handle(Input::Reply(2, run, Reply::Notice(LEAVES, None)));
         updates.extend(outputs.into_iter().filter_map(|output| match output {
             Output::Notice(update) => Some(update),
             _ => None,
@@ -89,13 +89,13 @@
     }
     let leaving = |update: &Update| update.change == Change::Leaving;
     assert!(updates.len() == 1 && leaving(&updates[0]), "{updates:?}");
-    let mut other = Stand::new(3);
-    let outputs = other.tell(Input::Notice(updates[0]));
+    let mut other = Harness::new(3);
+    let outputs = other.handle(Input::Notice(updates[0]));
     assert!(
         outputs.is_empty(),
         "an update is not forwarded: {outputs:?}"
     );
-    assert_eq!(other.reached(), [1, 3]);
+    assert_eq!(other.links_in_use(), [1, 3]);
 }
 
 /// A row that vanished while the store was out of reach, or that still says ready, is older than
@@ -103,40 +103,40 @@
 #[test_case(1, &[1, 3]; "a row does not reset the notice")]
 #[test_case(2, &[1, 3, 12]; "another start has given no notice")]
 fn the_notice_applies_to_one_start(start: u64, reached: &[Link]) {
-    let mut stand = Stand::new(3);
-    let run = stand.reach(2);
-    stand.tell(Input::Reply(2, run, Reply::Notice(LEAVES, None)));
-    stand.tell(Input::Retire(2));
-    stand.join(12, 2, start);
-    assert_eq!(stand.reached(), reached);
+    let mut harness = Harness::new(3);
+    let run = harness.request_at(2);
+    harness.handle(Input::Reply(2, run, Reply::Notice(LEAVES, None)));
+    harness.handle(Input::Retire(2));
+    harness.join(12, 2, start);
+    assert_eq!(harness.links_in_use(), reached);
 }
 
 /// Requests that were sent before the notice go on, and those that fail there continue elsewhere.
 #[test]
 fn running_requests_continue() {
-    let mut stand = Stand::new(2);
-    let run = stand.reach(2);
-    stand.tell(Input::Reply(2, run, Reply::Notice(LEAVES, None)));
-    stand.tell(Input::Reply(2, run, head(200)));
+    let mut harness = Harness::new(2);
+    let run = harness.request_at(2);
+    harness.handle(Input::Reply(2, run, Reply::Notice(LEAVES, None)));
+    harness.handle(Input::Reply(2, run, head(200)));
     let data = Reply::Data {
         data: b"id:1\n\n".to_vec(),
         last_event: Some(1),
     };
-    stand.tell(Input::Reply(2, run, data));
+    harness.handle(Input::Reply(2, run, data));
     let broken = Failure::new(Reason::LinkLost, Verdict::MayHaveRun, "broke off");
-    let outputs = stand.tell(Input::Reply(2, run, Reply::Fail(broken)));
+    let outputs = harness.handle(Input::Reply(2, run, Reply::Fail(broken)));
     let resumed = sent(&outputs).map(|(link, _)| link);
     assert_eq!(resumed, Some(1));
 }
 
 #[test]
 fn requests_are_refused_at_once_if_all_upstreams_leave() {
-    let mut stand = Stand::new(2);
+    let mut harness = Harness::new(2);
     for link in [1, 2] {
-        let run = stand.reach(link);
-        stand.tell(Input::Reply(link, run, Reply::Notice(LEAVES, None)));
+        let run = harness.request_at(link);
+        harness.handle(Input::Reply(link, run, Reply::Notice(LEAVES, None)));
     }
-    let outputs = stand.ask();
+    let outputs = harness.send_request();
     let refused = failure(&outputs).expect("a refusal");
     assert_eq!(refused.verdict, Verdict::NotRun);
     assert_eq!(refused.reason, Reason::NoUpstream);
--- a/crates/core/tests/random.rs
+++ b/crates/core/tests/random.rs
@@ -1,9 +1,9 @@
-//! A long randomised run of entries and sidecars with links that break,
-//! processes that are killed, versions that are withdrawn, data halls that are emptied and
-//! a store whose answers get lost. The promises are checked inside the program; what only an
-//! observer can see is checked here.
+//! Randomised simulation of entries and sidecars: links break, processes are killed, versions are
+//! withdrawn, data halls are evacuated and answers of the store are lost. Entries and sidecars
+//! check their invariants themselves; this test checks what only an outside observer sees: the
+//! answers of callers, the runs at engines and the bill.
 //!
-//! `SORRELDECK_CASES` sets the number of cases of up to 800 steps.
+//! `SORRELDECK_CASES` sets the number of cases, each of up to 800 steps.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -69,7 +69,7 @@
     to_entry: VecDeque<Frame>,
 }
 
-struct AtEngine {
+struct EngineRun {
     sidecar: usize,
     chat: bool,
     sent: u32,
@@ -83,18 +83,18 @@
     body: Vec<u8>,
     headed: bool,
     end: Option<Result<(), Failure>>,
-    gone: bool,
+    disconnected: bool,
 }
 
-/// Which kind of process is killed in a case: killing both kinds may lose a
-/// record whose two copies die together, as docs/PROMISES.md says.
+/// The kind of process that is killed in a case. Killing both kinds may lose a record whose two
+/// copies are lost together, as docs/PROMISES.md says.
 #[derive(Clone, Copy, PartialEq)]
 enum Victim {
     Entry,
     Sidecar,
 }
 
-struct World {
+struct Simulation {
     now: Time,
     tree: Arc<Tree>,
     entries: Vec<Entry>,
@@ -103,7 +103,7 @@
     wires: BTreeMap<Link, Wire>,
     next_link: Link,
     next_request: u64,
-    running: BTreeMap<Run, AtEngine>,
+    running: BTreeMap<Run, EngineRun>,
     starts: BTreeMap<RequestId, u32>,
     finished: BTreeSet<(RequestId, u16)>,
     callers: BTreeMap<RequestId, Caller>,
@@ -111,8 +111,8 @@
     samples: Vec<(usize, Sample)>,
     stored: Vec<Record>,
     victim: Victim,
-    /// Until when the engine of each sidecar wants no requests.
-    rests: BTreeMap<usize, Time>,
+    /// Time until which the engine of each sidecar has asked for no requests.
+    resting_until: BTreeMap<usize, Time>,
     writes: u64,
 }
 
@@ -131,7 +131,8 @@
     ))
 }
 
-/// Returns the data hall of a sidecar: one engine is in each, the plain service with the first.
+/// Returns the data hall of a sidecar: each hall has one engine, the first one also the plain
+/// service.
 fn hall_of(sidecar: usize) -> Hall {
     format!("hall-{}", sidecar % ENGINES).parse().unwrap()
 }
@@ -151,16 +152,16 @@
     })
 }
 
-fn broken(promises: &Invariants) -> u64 {
-    Invariant::ALL.iter().map(|p| promises.violated(*p)).sum()
+fn violations(invariants: &Invariants) -> u64 {
+    Invariant::ALL.iter().map(|i| invariants.violated(*i)).sum()
 }
 
-impl World {
-    fn new(victim: Victim) -> World {
+impl Simulation {
+    fn new(victim: Victim) -> Simulation {
         let text = TREE.replace('@', &sorreldeck::tree::hash_key("key"));
         let entries = sorreldeck::tree::parse_toml(&text).unwrap();
         let tree = Tree::from_entries(sorreldeck::Revision(1), entries).unwrap();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: Time(1_000_000),
             tree: Arc::new(tree),
             entries: (0..ENTRIES).map(|i| new_entry(i as u64 + 1)).collect(),
@@ -179,21 +180,21 @@
             samples: Vec::new(),
             stored: Vec::new(),
             victim,
-            rests: BTreeMap::new(),
+            resting_until: BTreeMap::new(),
             writes: 0,
         };
-        world.spread();
-        world.connect_all();
-        world
+        simulation.distribute_tree();
+        simulation.connect_all();
+        simulation
     }
 
-    /// Puts the present tree in force everywhere.
-    fn spread(&mut self) {
+    /// Applies the current configuration at all entries and sidecars.
+    fn distribute_tree(&mut self) {
         for i in 0..ENTRIES {
-            self.tell_entry(i, entry::Input::Tree(self.tree.clone()));
+            self.handle_entry(i, entry::Input::Tree(self.tree.clone()));
         }
         for i in 0..SIDECARS {
-            self.tell_sidecar(i, sidecar::Input::Tree(self.tree.clone()));
+            self.handle_sidecar(i, sidecar::Input::Tree(self.tree.clone()));
         }
     }
 
@@ -221,36 +222,36 @@
             to_entry: VecDeque::new(),
         };
         self.wires.insert(link, wire);
-        self.tell_sidecar(sidecar, sidecar::Input::LinkUp(link));
+        self.handle_sidecar(sidecar, sidecar::Input::LinkUp(link));
     }
 
     fn cut(&mut self, link: Link) {
         if let Some(wire) = self.wires.remove(&link) {
-            self.tell_entry(wire.entry, entry::Input::LinkDown(link));
-            self.tell_sidecar(wire.sidecar, sidecar::Input::LinkDown(link));
+            self.handle_entry(wire.entry, entry::Input::LinkDown(link));
+            self.handle_sidecar(wire.sidecar, sidecar::Input::LinkDown(link));
         }
     }
 
-    fn tell_entry(&mut self, i: usize, input: entry::Input) {
+    fn handle_entry(&mut self, i: usize, input: entry::Input) {
         let outputs = self.entries[i].handle(self.now, input);
         for output in outputs {
             self.entry_output(i, output);
         }
         assert_eq!(
-            broken(self.entries[i].invariants()),
+            violations(self.entries[i].invariants()),
             0,
             "{:?}",
             self.entries[i].invariants()
         );
     }
 
-    fn tell_sidecar(&mut self, i: usize, input: sidecar::Input) {
+    fn handle_sidecar(&mut self, i: usize, input: sidecar::Input) {
         let outputs = self.sidecars[i].handle(self.now, input);
         for output in outputs {
             self.sidecar_output(i, output);
         }
         assert_eq!(
-            broken(self.sidecars[i].invariants()),
+            violations(self.sidecars[i].invariants()),
             0,
             "{:?}",
             self.sidecars[i].invariants()
@@ -267,30 +268,30 @@
                     wire.to_sidecar.push_back(frame);
                 }
             }
-            entry::Output::Answer(request, part) => self.hear(request, part),
+            entry::Output::Answer(request, part) => self.deliver_part(request, part),
             entry::Output::Rate(sample) => self.samples.push((i, sample)),
             entry::Output::Write(batch) => {
                 self.stored.extend(batch.records.clone());
-                self.tell_entry(i, entry::Input::Written(batch.number));
+                self.handle_entry(i, entry::Input::Written(batch.number));
             }
             entry::Output::Claim(request, _) => {
-                self.tell_entry(i, entry::Input::Claimed(request, Ok(())));
+                self.handle_entry(i, entry::Input::Claimed(request, Ok(())));
             }
-            entry::Output::Behind(_) => self.tell_entry(i, entry::Input::Tree(self.tree.clone())),
+            entry::Output::Behind(_) => self.handle_entry(i, entry::Input::Tree(self.tree.clone())),
             entry::Output::Ahead(link, _) => {
                 let sidecar = self.wires.get(&link).map(|w| w.sidecar);
                 if let Some(sidecar) = sidecar {
                     let tree = self.entries[i].tree().clone();
                     if tree.revision() > self.sidecars[sidecar].tree().revision() {
-                        self.tell_sidecar(sidecar, sidecar::Input::Tree(tree));
+                        self.handle_sidecar(sidecar, sidecar::Input::Tree(tree));
                     }
                 }
             }
-            entry::Output::QuarantineUpdate(word) => {
+            entry::Output::QuarantineUpdate(update) => {
                 let wires = self.wires.values_mut().filter(|w| w.entry == i);
                 for wire in wires {
                     wire.to_sidecar
-                        .push_back(Frame::Quarantine(vec![word.clone()]));
+                        .push_back(Frame::Quarantine(vec![update.clone()]));
                 }
             }
             entry::Output::Forward(..)
@@ -316,31 +317,35 @@
                 if self.running.remove(&run).is_some() {
                     let failure = Failure::new(Reason::Cancelled, Verdict::Ran, "stopped");
                     let event = Event::Fail(failure, Usage::default());
-                    self.tell_sidecar(i, sidecar::Input::Upstream(run, event));
+                    self.handle_sidecar(i, sidecar::Input::Upstream(run, event));
                 }
             }
             sidecar::Output::Write(batch) => {
                 self.stored.extend(batch.records.clone());
-                // Half of the answers of the store get lost.
+                // Every second acknowledgement of the store is lost.
                 self.writes += 1;
                 let input = match self.writes % 2 {
                     0 => sidecar::Input::Written(batch.number),
                     _ => sidecar::Input::NotWritten(batch.number),
                 };
-                self.tell_sidecar(i, input);
+                self.handle_sidecar(i, input);
             }
             sidecar::Output::Behind(_) => {
-                self.tell_sidecar(i, sidecar::Input::Tree(self.tree.clone()));
+                self.handle_sidecar(i, sidecar::Input::Tree(self.tree.clone()));
             }
             sidecar::Output::Ahead(..) | sidecar::Output::Closed(_) => {}
         }
     }
 
     fn start(&mut self, sidecar: usize, start: &sorreldeck::wire::Start) {
-        let rests_until = self.rests.get(&sidecar).copied().unwrap_or_default();
+        let until = self
+            .resting_until
+            .get(&sidecar)
+            .copied()
+            .unwrap_or_default();
         assert!(
-            self.now >= rests_until,
-            "u{sidecar} is asked while it rests"
+            self.now >= until,
+            "u{sidecar} gets a request before its retry-after time has passed"
         );
         let request = start.run.request;
         let starts = self.starts.entry(request).or_default();
@@ -350,16 +355,16 @@
             !once || *starts == 1,
             "{request} may not be repeated but ran {starts} times"
         );
-        // What the caller was told before must still be true.
-        let told = self.callers.get(&request).and_then(|c| c.end.as_ref());
-        if let Some(Err(failure)) = told {
+        // A request that was refused as not run must not be started afterwards.
+        let reported = self.callers.get(&request).and_then(|c| c.end.as_ref());
+        if let Some(Err(failure)) = reported {
             assert_ne!(
                 failure.verdict,
                 Verdict::NotRun,
                 "{request} ran after it was refused"
             );
         }
-        let at = AtEngine {
+        let at = EngineRun {
             sidecar,
             chat: start.version.is_some(),
             sent: 0,
@@ -372,7 +377,7 @@
         );
     }
 
-    fn hear(&mut self, request: RequestId, part: Part) {
+    fn deliver_part(&mut self, request: RequestId, part: Part) {
         let Some(caller) = self.callers.get_mut(&request) else {
             return;
         };
@@ -397,15 +402,15 @@
                     run.starts_with(&request.to_string()),
                     "{request} got the answer {body}"
                 );
-                let whole: String = (0..PARTS).map(|i| format!("{run}:{i};")).collect();
-                assert_eq!(body, whole, "{request} got a torn answer");
+                let expected: String = (0..PARTS).map(|i| format!("{run}:{i};")).collect();
+                assert_eq!(body, expected, "{request} got an incomplete answer");
                 caller.end = Some(Ok(()));
             }
             Part::Fail(failure) => {
                 let starts = self.starts.get(&request).copied().unwrap_or(0);
-                let told = failure.verdict;
+                let reported = failure.verdict;
                 assert!(
-                    told != Verdict::NotRun || starts == 0,
+                    reported != Verdict::NotRun || starts == 0,
                     "{request}: {failure}, but it ran"
                 );
                 caller.end = Some(Err(failure));
@@ -413,7 +418,13 @@
         }
     }
 
-    fn ask(&mut self, entry: usize, what: Payload, once: bool, session: Option<String>) {
+    fn send_request(
+        &mut self,
+        entry: usize,
+        content: Payload,
+        once: bool,
+        session: Option<String>,
+    ) {
         let request = RequestId::new(7, self.next_request);
         self.next_request += 1;
         let caller = Caller {
@@ -422,7 +433,7 @@
             ..Caller::default()
         };
         self.callers.insert(request, caller);
-        let ask = Request {
+        let message = Request {
             request,
             key: Some("key".into()),
             route: None,
@@ -430,15 +441,15 @@
             session,
             at_most_once: false,
             idempotency_key: None,
-            payload: what,
+            payload: content,
         };
-        self.tell_entry(entry, entry::Input::Request(Box::new(ask)));
+        self.handle_entry(entry, entry::Input::Request(Box::new(message)));
     }
 
     fn chat(&mut self, entry: usize, model: &str, session: Option<String>) {
         let body = format!(r#"{{"model": "{model}", "max_tokens": 3, "messages": []}}"#);
         let chat = Chat::from_slice(body.as_bytes()).unwrap();
-        self.ask(entry, Payload::Chat(Box::new(chat)), false, session);
+        self.send_request(entry, Payload::Chat(Box::new(chat)), false, session);
     }
 
     fn plain(&mut self, entry: usize, method: &str) {
@@ -448,7 +459,7 @@
             headers: Vec::new(),
             body: Vec::new(),
         };
-        self.ask(entry, Payload::Plain(call), method == "POST", None);
+        self.send_request(entry, Payload::Plain(call), method == "POST", None);
     }
 
     fn deliver(&mut self, nth: usize, up: bool) {
@@ -478,13 +489,13 @@
             wire.to_entry.pop_front()
         };
         match (frame, up) {
-            (Some(frame), true) => self.tell_sidecar(sidecar, sidecar::Input::Frame(link, frame)),
-            (Some(frame), false) => self.tell_entry(entry, entry::Input::Frame(link, frame)),
+            (Some(frame), true) => self.handle_sidecar(sidecar, sidecar::Input::Frame(link, frame)),
+            (Some(frame), false) => self.handle_entry(entry, entry::Input::Frame(link, frame)),
             (None, _) => {}
         }
     }
 
-    /// Delivers the next start of a link twice.
+    /// Duplicates the next frame of a link if it starts a run.
     fn duplicate(&mut self, nth: usize) {
         let links: Vec<Link> = self.wires.keys().copied().collect();
         let Some(link) = links.get(nth % links.len().max(1)) else {
@@ -497,7 +508,7 @@
         }
     }
 
-    /// Lets a run at an upstream go on, or fail.
+    /// Advances a run at an upstream by one event, or makes it fail.
     fn progress(&mut self, nth: usize, fail: bool) {
         let runs: Vec<Run> = self.running.keys().copied().collect();
         let Some(run) = runs.get(nth % runs.len().max(1)).copied() else {
@@ -533,11 +544,11 @@
             }
             Event::End(usage, chat.then_some(Confidence(0.5)))
         };
-        self.tell_sidecar(sidecar, sidecar::Input::Upstream(run, event));
+        self.handle_sidecar(sidecar, sidecar::Input::Upstream(run, event));
     }
 
-    /// Has an engine turn a run away that has not begun, and ask for rest.
-    fn turn_away(&mut self, nth: usize, rest_ms: u64) {
+    /// Makes an engine refuse a run that has not begun, with a retry-after time.
+    fn refuse(&mut self, nth: usize, rest_ms: u64) {
         let waiting = self.running.iter().filter(|(_, at)| !at.headed);
         let waiting: Vec<Run> = waiting.map(|(run, _)| *run).collect();
         let Some(run) = waiting.get(nth % waiting.len().max(1)).copied() else {
@@ -547,11 +558,11 @@
         let starts = self.starts.get_mut(&run.request);
         *starts.expect("a run was started") -= 1;
         let rest = Span::from_millis(rest_ms);
-        let until = self.rests.entry(at.sidecar).or_default();
+        let until = self.resting_until.entry(at.sidecar).or_default();
         *until = (*until).max(self.now + rest);
         let failure = Failure::not_run(Reason::UpstreamFailed, "turned away").retry_after(rest);
         let event = Event::Fail(failure, Usage::default());
-        self.tell_sidecar(at.sidecar, sidecar::Input::Upstream(run, event));
+        self.handle_sidecar(at.sidecar, sidecar::Input::Upstream(run, event));
     }
 
     fn toggle(&mut self, version: &str) {
@@ -569,7 +580,7 @@
         self.tree = Arc::new(self.tree.with(&[edit], revision).unwrap());
     }
 
-    /// Empties a data hall, or restores it.
+    /// Evacuates a data hall, or revokes its evacuation.
     fn evacuate(&mut self, nth: usize) {
         let key = Key::new(Section::Halls, hall_of(nth % ENGINES));
         let is_empty = self.tree.entries().contains_key(&key);
@@ -582,7 +593,7 @@
         self.tree = Arc::new(self.tree.with(&[edit], revision).unwrap());
     }
 
-    /// Nothing is sent to a data hall that the sender knows to be emptied.
+    /// Checks that an entry sends no request to a data hall that its configuration evacuates.
     fn check_hall(&self, entry: usize, link: Link) {
         let Some(wire) = self.wires.get(&link) else {
             return;
@@ -600,27 +611,27 @@
                 self.cut_where(|w| w.sidecar == i);
                 self.running.retain(|_, at| at.sidecar != i);
                 self.sidecars[i] = new_sidecar(i, self.incarnations);
-                self.rests.remove(&i);
-                self.tell_sidecar(i, sidecar::Input::Tree(self.tree.clone()));
+                self.resting_until.remove(&i);
+                self.handle_sidecar(i, sidecar::Input::Tree(self.tree.clone()));
             }
             Victim::Entry => {
                 let i = nth % ENTRIES;
-                // Its callers hear nothing more.
+                // Its callers get no further answers.
                 self.callers.retain(|_, c| c.entry != i || c.end.is_some());
                 self.samples.retain(|(e, _)| *e != i);
                 self.entries[i] = new_entry(self.incarnations);
                 self.cut_where(|w| w.entry == i);
-                self.tell_entry(i, entry::Input::Tree(self.tree.clone()));
+                self.handle_entry(i, entry::Input::Tree(self.tree.clone()));
             }
         }
         self.connect_all();
     }
 
-    fn cut_where(&mut self, among: impl Fn(&Wire) -> bool) {
+    fn cut_where(&mut self, matches: impl Fn(&Wire) -> bool) {
         let links: Vec<Link> = self
             .wires
             .iter()
-            .filter(|(_, w)| among(w))
+            .filter(|(_, w)| matches(w))
             .map(|(l, _)| *l)
             .collect();
         for link in links {
@@ -628,15 +639,15 @@
         }
     }
 
-    fn replace_leaving(&mut self, nth: usize) {
+    fn drain_and_replace(&mut self, nth: usize) {
         let i = nth % SIDECARS;
-        self.tell_sidecar(i, sidecar::Input::Drain);
+        self.handle_sidecar(i, sidecar::Input::Drain);
         if self.sidecars[i].is_idle() {
             self.incarnations += 1;
             self.cut_where(|w| w.sidecar == i);
             self.sidecars[i] = new_sidecar(i, self.incarnations);
-            self.rests.remove(&i);
-            self.tell_sidecar(i, sidecar::Input::Tree(self.tree.clone()));
+            self.resting_until.remove(&i);
+            self.handle_sidecar(i, sidecar::Input::Tree(self.tree.clone()));
             self.connect_all();
         }
     }
@@ -644,15 +655,15 @@
     fn tick(&mut self, nth: usize, millis: u64) {
         self.now = self.now + Span::from_millis(millis) + Span::from_micros(millis % 7);
         match nth % (ENTRIES + SIDECARS) {
-            i if i < ENTRIES => self.tell_entry(i, entry::Input::Tick),
-            i => self.tell_sidecar(i - ENTRIES, sidecar::Input::Tick),
+            i if i < ENTRIES => self.handle_entry(i, entry::Input::Tick),
+            i => self.handle_sidecar(i - ENTRIES, sidecar::Input::Tick),
         }
     }
 
     fn rate(&mut self, good: bool) {
         if let Some((i, sample)) = self.samples.pop() {
             let score = f64::from(u8::from(good));
-            self.tell_entry(i, entry::Input::Rated(Rating { sample, score }));
+            self.handle_entry(i, entry::Input::Rated(Rating { sample, score }));
         }
     }
 
@@ -670,7 +681,7 @@
             6..=11 => self.deliver(nth, true),
             12..=17 => self.deliver(nth, false),
             18..=23 => self.progress(nth, false),
-            24 if b % 2 == 0 => self.turn_away(nth, u64::from(b) * 10),
+            24 if b % 2 == 0 => self.refuse(nth, u64::from(b) * 10),
             24 => self.progress(nth, true),
             25 => self.tick(nth, u64::from(b)),
             26 => {
@@ -685,7 +696,7 @@
             28 => match b % 6 {
                 0 => self.toggle("big-2"),
                 1 => self.kill(nth),
-                2 => self.replace_leaving(nth),
+                2 => self.drain_and_replace(nth),
                 3 => self.duplicate(nth),
                 4 => self.evacuate(nth),
                 _ => self.rate(b % 2 == 0),
@@ -693,33 +704,34 @@
             29 => {
                 let (i, tree) = (nth % (ENTRIES + SIDECARS), self.tree.clone());
                 match i < ENTRIES {
-                    true => self.tell_entry(i, entry::Input::Tree(tree)),
-                    false => self.tell_sidecar(i - ENTRIES, sidecar::Input::Tree(tree)),
+                    true => self.handle_entry(i, entry::Input::Tree(tree)),
+                    false => self.handle_sidecar(i - ENTRIES, sidecar::Input::Tree(tree)),
                 }
             }
-            30 => self.leave_caller(nth),
+            30 => self.disconnect_caller(nth),
             _ => self.rate(b % 3 > 0),
         }
     }
 
-    fn leave_caller(&mut self, nth: usize) {
+    fn disconnect_caller(&mut self, nth: usize) {
         let open: Vec<RequestId> = self
             .callers
             .iter()
-            .filter(|(_, c)| c.end.is_none() && !c.gone)
+            .filter(|(_, c)| c.end.is_none() && !c.disconnected)
             .map(|(r, _)| *r)
             .collect();
         if let Some(request) = open.get(nth % open.len().max(1)) {
             let caller = self.callers.get_mut(request).unwrap();
-            caller.gone = true;
+            caller.disconnected = true;
             let entry = caller.entry;
-            self.tell_entry(entry, entry::Input::Disconnected(*request));
+            self.handle_entry(entry, entry::Input::Disconnected(*request));
         }
     }
 
-    /// Lets everything come to rest and checks what must then hold.
+    /// Delivers all frames, completes all runs, and checks that every request has ended and that the
+    /// bill is right.
     fn settle(&mut self) {
-        self.spread();
+        self.distribute_tree();
         self.connect_all();
         for round in 0..400 {
             while self.wires.values().any(|w| !w.to_sidecar.is_empty()) {
@@ -741,8 +753,8 @@
         self.check_bill();
     }
 
-    /// Every whole answer that an engine gave and a caller got is billed, and
-    /// nothing is billed twice.
+    /// Checks that every complete answer that reached its caller is billed, and that no step is
+    /// billed twice.
     fn check_bill(&mut self) {
         let totals = Total::add_up(&self.stored);
         let billed: BTreeSet<(RequestId, u16)> = self
@@ -767,8 +779,8 @@
 }
 
 fn cases() -> u32 {
-    let set = std::env::var("SORRELDECK_CASES").ok();
-    set.and_then(|n| n.parse().ok()).unwrap_or(150)
+    let cases = std::env::var("SORRELDECK_CASES").ok();
+    cases.and_then(|n| n.parse().ok()).unwrap_or(150)
 }
 
 proptest! {
@@ -781,16 +793,16 @@
     })]
 
     #[test]
-    fn promises_hold_under_random_faults(
+    fn invariants_hold_under_random_faults(
         steps in prop::collection::vec(any::<(u8, u8, u8)>(), 1..800),
         kill_entries in any::<bool>(),
     ) {
         let victim = if kill_entries { Victim::Entry } else { Victim::Sidecar };
-        let mut world = World::new(victim);
+        let mut simulation = Simulation::new(victim);
         for (op, a, b) in steps {
-            world.step(op, a, b);
+            simulation.step(op, a, b);
         }
-        world.settle();
+        simulation.settle();
 
     }
 }
--- a/crates/core/tests/regression/failed_continuation_looked_whole.rs
+++ b/crates/core/tests/regression/failed_continuation_looked_whole.rs
@@ -1,6 +1,6 @@
-//! A stream whose upstream crashed went on at another, which answered 500. The body of that
-//! answer was given as the rest of the stream and its end as the end of the stream, so that a
-//! broken answer looked whole.
+//! Guards against a truncated stream that looks complete. After the upstream of a stream crashed,
+//! the continuation at another upstream was answered with 500. The entry passed the body of that
+//! error on as the rest of the stream and its end as the end of the stream.
 
 use crate::common;
 use sorreldeck::entry::{Entry, Input, Member, Output, Part, Reply, Routed, Settings};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn failed_continuation_looked_whole() {
+fn a_failed_continuation_fails_the_stream() {
     let keys = format!("1:{}", "42".repeat(32)).parse().unwrap();
     let mut entry = Entry::new(Settings::new(
         "e1".parse().unwrap(),
--- a/crates/core/tests/regression/main.rs
+++ b/crates/core/tests/regression/main.rs
@@ -1,4 +1,4 @@
-//! One file for each failure ever found in the decisions.
+//! Regression tests of routing decisions: one file for each fault.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/core/tests/regression/roaming_session_was_drawn.rs
+++ b/crates/core/tests/regression/roaming_session_was_drawn.rs
@@ -1,18 +1,19 @@
-//! Four sessions that one entry had served on the old release were drawn for the new one by
-//! another entry, within 5 s. What entries tell one another of sessions takes a moment,
-//! so the share on trial bounds how many are drawn.
+//! Guards against too many sessions that change their release at the beginning of a trial. Four
+//! sessions that one entry had served on the old release were assigned to the new one by another
+//! entry within 5 s. Entries learn of each other's sessions with a delay, so only the share of
+//! the trial bounds how many sessions change over.
 
 use sorreldeck::release::{Order, Releases, State};
 use sorreldeck::{PoolId, Span, Time, VersionId};
 use std::collections::BTreeMap;
 
-/// The sessions that roam over the beginning of a trial, as counted on that day.
+/// Sessions that move to another entry around the beginning of a trial, as in the original failure.
 const ROAMING: u64 = 17;
-/// The runs of the trial looked at.
+/// Number of simulated trials.
 const TRIALS: u64 = 2_000;
 
 #[test]
-fn few_roaming_sessions_are_drawn() {
+fn few_roaming_sessions_are_assigned_to_the_trial() {
     let pool: PoolId = "engines".parse().unwrap();
     let (old, new): (VersionId, VersionId) = ("v1".parse().unwrap(), "v2".parse().unwrap());
     let present = BTreeMap::from([(&old, 18), (&new, 18)]);
@@ -28,7 +29,7 @@
     let broken = (0..TRIALS).filter(|trial| {
         let sessions = trial * ROAMING..(trial + 1) * ROAMING;
         let drawn = sessions.filter(|s| {
-            // Session names are hashes, so neighbours have nothing in common.
+            // Session names are hashes, so consecutive numbers must not give similar names.
             let session = s.wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let chosen = releases.choose(&pool, Some(session), 0.0, Time(1_000), &present);
             chosen.as_ref() == Some(&new)
--- a/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
+++ b/crates/core/tests/regression/session_moved_though_its_version_was_back.rs
@@ -1,6 +1,7 @@
-//! Found by the randomised run. A session had to move since its version was
-//! withdrawn; the first try failed; meanwhile the version was back in service,
-//! and the second try still went to the version that the session had moved to.
+//! Guards against a session that moves to another version although its own is in service. The
+//! version of the session was withdrawn, so the first attempt went to the successor and failed.
+//! The version was put back in service in between, but the second attempt still went to the
+//! other version.
 
 use sorreldeck::entry::{Chat, Entry, Input, Output, Payload, Request, Settings};
 use sorreldeck::session::{Keyring, Session};
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_retry_chooses_anew_when_the_configuration_has_changed() {
+fn a_retry_selects_the_version_again_after_a_change_of_configuration() {
     let keys: Keyring = format!("1:{}", "07".repeat(32)).parse().unwrap();
     let mut entry = Entry::new(Settings::new(
         "e".parse().unwrap(),
@@ -70,7 +71,7 @@
         version: "big-2".parse().unwrap(),
         upstream: None,
     };
-    let ask = Request {
+    let request = Request {
         request: RequestId::new(1, 1),
         key: Some("key".into()),
         route: None,
@@ -82,7 +83,7 @@
             Chat::from_slice(br#"{"model": "big", "messages": []}"#).unwrap(),
         )),
     };
-    let outputs = entry.handle(Time(2), Input::Request(Box::new(ask)));
+    let outputs = entry.handle(Time(2), Input::Request(Box::new(request)));
     let (link, start) = start_in(&outputs);
     assert_eq!(start.version, Some("big-1".parse().unwrap()));
     entry.handle(Time(3), Input::Tree(tree(2, "serving")));
--- a/crates/core/tests/rest_asked_for.rs
+++ b/crates/core/tests/rest_asked_for.rs
@@ -9,7 +9,7 @@
 
 mod common;
 
-use common::stand::Stand;
+use common::stand::Harness;
 use common::{failure, head, sent};
 use sorreldeck::entry::{Input, Reply};
 use sorreldeck::notice::Notice;
@@ -68,16 +68,16 @@
     }
 }
 
-impl Stand {
+impl Harness {
     /// Lets the upstream of a run turn it away and ask for a pause.
     fn turn_away(&mut self, link: Link, run: Run, pause: u64) {
         let notice = Notice {
             pause: Some(Span::from_millis(pause)),
             ..Notice::default()
         };
-        self.tell(Input::Reply(link, run, Reply::Notice(notice, None)));
+        self.handle(Input::Reply(link, run, Reply::Notice(notice, None)));
         let failure = Failure::not_run(Reason::Overloaded, "refused with 503");
-        self.tell(Input::Reply(link, run, Reply::Fail(failure)));
+        self.handle(Input::Reply(link, run, Reply::Fail(failure)));
     }
 
     fn wait(&mut self, ms: u64) {
@@ -87,76 +87,76 @@
 
 #[test]
 fn a_good_answer_to_an_earlier_request_does_not_end_the_pause() {
-    let mut stand = Stand::new(2);
-    let (early, late) = (stand.reach(2), stand.reach(2));
-    stand.turn_away(2, late, 3_000);
-    stand.tell(Input::Reply(2, early, head(200)));
-    stand.tell(Input::Reply(2, early, Reply::End));
-    stand.wait(2_000);
-    assert_eq!(stand.reached(), [1]);
+    let mut harness = Harness::new(2);
+    let (early, late) = (harness.request_at(2), harness.request_at(2));
+    harness.turn_away(2, late, 3_000);
+    harness.handle(Input::Reply(2, early, head(200)));
+    harness.handle(Input::Reply(2, early, Reply::End));
+    harness.wait(2_000);
+    assert_eq!(harness.links_in_use(), [1]);
 }
 
 #[test]
 fn the_longer_of_two_pauses_counts() {
-    let mut stand = Stand::new(2);
-    let (one, other) = (stand.reach(2), stand.reach(2));
-    stand.turn_away(2, one, 3_000);
-    stand.turn_away(2, other, 500);
-    stand.wait(2_500);
-    assert_eq!(stand.reached(), [1]);
+    let mut harness = Harness::new(2);
+    let (one, other) = (harness.request_at(2), harness.request_at(2));
+    harness.turn_away(2, one, 3_000);
+    harness.turn_away(2, other, 500);
+    harness.wait(2_500);
+    assert_eq!(harness.links_in_use(), [1]);
 }
 
 /// The number of earlier refusals does not keep an upstream idle for longer than it asked for.
 #[test]
 fn after_its_pause_an_upstream_gets_its_share_again() {
-    let mut stand = Stand::new(2);
-    let runs: Vec<Run> = (0..6).map(|_| stand.reach(2)).collect();
+    let mut harness = Harness::new(2);
+    let runs: Vec<Run> = (0..6).map(|_| harness.request_at(2)).collect();
     for run in runs {
-        stand.turn_away(2, run, 1_000);
+        harness.turn_away(2, run, 1_000);
     }
-    stand.wait(1_000);
-    assert_eq!(stand.reached(), [1, 2]);
+    harness.wait(1_000);
+    assert_eq!(harness.links_in_use(), [1, 2]);
 }
 
 #[test]
 fn a_row_that_comes_and_goes_does_not_end_the_pause() {
-    let mut stand = Stand::new(2);
-    let run = stand.reach(2);
-    stand.turn_away(2, run, 3_000);
-    stand.tell(Input::Retire(2));
-    stand.join(12, 2, 1);
-    assert_eq!(sent(&stand.ask()).map(|(link, _)| link), Some(1));
+    let mut harness = Harness::new(2);
+    let run = harness.request_at(2);
+    harness.turn_away(2, run, 3_000);
+    harness.handle(Input::Retire(2));
+    harness.join(12, 2, 1);
+    assert_eq!(sent(&harness.send_request()).map(|(link, _)| link), Some(1));
     // Another start of the upstream has asked for no pause.
-    stand.tell(Input::Retire(12));
-    stand.join(22, 2, 2);
-    assert_eq!(stand.reached(), [1, 22]);
+    harness.handle(Input::Retire(12));
+    harness.join(22, 2, 2);
+    assert_eq!(harness.links_in_use(), [1, 22]);
 }
 
 /// Clients are told when the first upstream accepts requests again.
 #[test]
 fn requests_are_refused_at_once_if_all_upstreams_pause() {
-    let mut stand = Stand::new(2);
+    let mut harness = Harness::new(2);
     for (link, pause) in [(1, 4_000), (2, 3_000)] {
-        let run = stand.reach(link);
-        stand.turn_away(link, run, pause);
+        let run = harness.request_at(link);
+        harness.turn_away(link, run, pause);
     }
-    stand.wait(500);
-    let outputs = stand.ask();
+    harness.wait(500);
+    let outputs = harness.send_request();
     let refused = failure(&outputs).expect("a refusal");
     assert_eq!(refused.verdict, Verdict::NotRun);
     let after = refused.retry_after.expect("a time to retry after").millis();
     assert!((2_400..=2_500).contains(&after), "{after}");
-    stand.wait(after);
-    assert_eq!(sent(&stand.ask()).map(|(link, _)| link), Some(2));
+    harness.wait(after);
+    assert_eq!(sent(&harness.send_request()).map(|(link, _)| link), Some(2));
 }
 
 /// The load that an upstream reports when it turns a request away is the latest known.
 #[test]
 fn the_load_in_a_refusal_counts() {
-    let mut stand = Stand::new(1);
-    let run = stand.reach(1);
+    let mut harness = Harness::new(1);
+    let run = harness.request_at(1);
     let full = Reply::Notice(Notice::default(), Some((8, 5, 8)));
-    stand.tell(Input::Reply(1, run, full));
-    let load = stand.entry.peers().get(1).unwrap().load;
+    harness.handle(Input::Reply(1, run, full));
+    let load = harness.entry.peers().get(1).unwrap().load;
     assert_eq!((load.running, load.queued, load.slots), (8, 5, 8));
 }
