--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input of callers and bad answers of upstreams: each gets its documented
-//! error, and the process goes on.
+//! Invalid input of callers and invalid answers of upstreams: each causes its documented error, and
+//! the process keeps serving.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// A node whose limits are small enough to be reached in a test.
+/// A node with limits small enough to be reached in a test.
 const SMALL: &str = r#"
 [nodes."/small"]
 account = "small"
@@ -25,13 +25,12 @@
 body_timeout = "300ms"
 "#;
 
-/// Sends bytes as they are and returns all that comes back until the server
-/// closes.
+/// Sends raw bytes and returns everything received until the server closes the connection.
 async fn raw(sample: &Sample, request: &str) -> String {
     let mut stream = TcpStream::connect(sample.entry.address).await.unwrap();
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut reply = Vec::new();
-    // A reset after the reply is as good as an end.
+    // A reset after the reply counts as the end of the connection.
     let _ = stream.read_to_end(&mut reply).await;
     String::from_utf8_lossy(&reply).into_owned()
 }
@@ -47,7 +46,7 @@
     format!("authorization: Bearer {KEY}\r\n{more}")
 }
 
-async fn goes_on(sample: &Sample) {
+async fn assert_serving(sample: &Sample) {
     let reply = ask(sample, &chat("scribe", "still there?"), &[]).await;
     assert_eq!(reply.status, 200, "{}", reply.text());
     let content = json_of(&reply)["choices"][0]["message"]["content"].clone();
@@ -79,7 +78,7 @@
         assert!(reply.starts_with(&format!("HTTP/1.1 {status} ")), "{reply}");
         assert!(reply.contains(&format!("\"code\":\"{code}\"")), "{reply}");
         assert!(reply.contains("x-sorreldeck-verdict: not-run"), "{reply}");
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
     });
 }
 
@@ -98,7 +97,7 @@
         assert_eq!(reply.status, 403);
         assert_eq!(json_of(&reply)["error"]["code"], "not_allowed");
         assert_eq!(json_of(&reply)["error"]["verdict"], "not-run");
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
     });
 }
 
@@ -120,12 +119,12 @@
         assert!(reply.starts_with("HTTP/1.1 413 "), "{reply}");
         assert!(reply.contains("\"code\":\"too_large\""), "{reply}");
         assert!(reply.contains("2KiB"), "{reply}");
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
     });
 }
 
 #[test]
-fn half_a_request_then_close_harms_nobody() {
+fn a_truncated_request_affects_no_other_caller() {
     task::block_on(async {
         let sample = start("").await;
         for cut in [10, 60, 150] {
@@ -135,14 +134,14 @@
             stream.write_all(part).await.unwrap();
             drop(stream);
         }
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
         let ran: usize = sample.engines.iter().map(|e| e.ran().len()).sum();
         assert_eq!(ran, 1, "only the whole request ran");
     });
 }
 
 #[test]
-fn a_slow_sender_is_told_so() {
+fn a_slow_sender_gets_a_timeout_error() {
     task::block_on(async {
         let sample = start(SMALL).await;
         let headers = with_key("x-sorreldeck-route: small\r\n");
@@ -150,7 +149,7 @@
         let reply = raw(&sample, &whole[..whole.len() - 5]).await;
         assert!(reply.starts_with("HTTP/1.1 408 "), "{reply}");
         assert!(reply.contains("\"code\":\"too_slow\""), "{reply}");
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
     });
 }
 
@@ -164,11 +163,11 @@
         let reply = raw(&sample, &request).await;
         assert!(reply.starts_with("HTTP/1.1 404 "), "{reply}");
         assert!(reply.contains("\"code\":\"unknown_path\""), "{reply}");
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
     });
 }
 
-/// Sets the switches of every engine.
+/// Sets the fault switches of every engine.
 fn set_knobs(sample: &Sample, knobs: Knobs) {
     for engine in &sample.engines {
         engine.set_knobs(knobs.clone());
@@ -177,7 +176,7 @@
 
 #[test_case(false; "whole answer")]
 #[test_case(true; "streamed answer")]
-fn an_upstream_that_closes_in_mid_answer_is_told_truthfully(stream: bool) {
+fn a_connection_closed_within_an_answer_is_reported_as_a_failure(stream: bool) {
     task::block_on(async {
         let sample = start("").await;
         set_knobs(
@@ -195,13 +194,13 @@
         assert!(!reply.contains("\"verdict\":\"not-run\""), "{reply}");
         assert!(!reply.contains("[DONE]"), "{reply}");
         set_knobs(&sample, Knobs::default());
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
     });
 }
 
 #[test_case(false; "whole answer")]
 #[test_case(true; "streamed answer")]
-fn an_answer_with_a_foreign_id_reaches_nobody(stream: bool) {
+fn an_answer_with_another_request_id_is_not_delivered(stream: bool) {
     task::block_on(async {
         let sample = start("").await;
         set_knobs(
@@ -218,12 +217,12 @@
         assert_eq!(json_of(&reply)["error"]["code"], "foreign_answer");
         assert_eq!(json_of(&reply)["error"]["verdict"], "may-have-run");
         set_knobs(&sample, Knobs::default());
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
     });
 }
 
 #[test]
-fn a_caller_that_goes_away_stops_the_stream_at_the_engine() {
+fn a_disconnected_caller_stops_the_stream_at_the_engine() {
     task::block_on(async {
         let sample = start("").await;
         let mut body = chat("scribe", "gone");
@@ -260,13 +259,13 @@
             .collect();
         assert_eq!(ran.len(), 1);
         assert!(!ran[0].finished);
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
     });
 }
 
-/// The stories are told in the tests of the decisions, `rest_asked_for` and `rest_behind_sidecars`.
+/// The tests of the decisions, `rest_asked_for` and `rest_behind_sidecars`, describe the cases.
 #[test]
-fn an_engine_that_asks_for_rest_gets_it() {
+fn the_retry_after_time_of_an_engine_is_kept() {
     task::block_on(async {
         let sample = start("").await;
         let knobs = Knobs {
@@ -291,6 +290,6 @@
         assert!((1..=2).contains(&after.parse::<u64>().unwrap()), "{after}");
         set_knobs(&sample, Knobs::default());
         task::sleep(Duration::from_millis(2_100)).await;
-        goes_on(&sample).await;
+        assert_serving(&sample).await;
     });
 }
--- a/crates/daemon/tests/counts.rs
+++ b/crates/daemon/tests/counts.rs
@@ -1,5 +1,5 @@
-//! What entries counted, as the first entries of their data hall know it: links and a store in simulated
-//! time.
+//! Usage counts of entries, aggregated by the first entries of their data hall, with links and a store
+//! in simulated time.
 
 use sorreldeck::duty::{Tally, Window};
 use sorreldeck::{AccountId, Incarnation, Span};
@@ -11,7 +11,7 @@
     (millis * 1_000 / TICK.micros()) as usize
 }
 
-/// An installation whose entries count.
+/// Returns a simulation in which all entries count usage.
 fn counting(halls: usize, entries: usize) -> World {
     let mut world = World::new(7, halls, entries);
     world.put_upstreams();
@@ -23,7 +23,7 @@
     world
 }
 
-/// Lets each entry of a data hall begin a request of each of some client accounts.
+/// Starts one request of each client account at each entry of a data hall; returns the window.
 fn begin(world: &mut World, hall: &str, accounts: usize) -> Window {
     let now = world.now;
     for node in &mut world.nodes {
@@ -38,7 +38,7 @@
     Window::at(now, LENGTH)
 }
 
-/// Returns the two largest sums that entries of a data hall have of a window.
+/// Returns the two largest totals of a window among the entries of a data hall.
 fn sums(world: &mut World, hall: &str, window: Window) -> Vec<u64> {
     let nodes = world.nodes.iter_mut();
     let near = nodes.filter(|node| node.peer.hall.as_str() == hall);
@@ -51,18 +51,18 @@
 }
 
 #[test]
-fn the_first_two_of_a_data_hall_know_what_all_of_it_counted() {
+fn the_first_two_entries_of_a_data_hall_know_its_total() {
     let mut world = counting(3, 30);
     let window = begin(&mut world, "h-1", 5);
     world.pass(steps(600));
     let sums = sums(&mut world, "h-1", window);
-    // The second has what the first counted from nobody.
+    // Nobody sends the second entry the counts of the first.
     assert_eq!(sums[0], 50);
     assert!(sums[1] >= 45, "{sums:?}");
 }
 
 #[test]
-fn what_was_counted_is_told_to_the_next_where_the_first_was_killed() {
+fn counts_are_sent_to_the_successor_of_a_killed_first_entry() {
     let mut world = counting(2, 16);
     let window = begin(&mut world, "h-0", 4);
     world.pass(steps(100));
@@ -81,13 +81,13 @@
         .relay
         .enable_usage(Tally::new(Incarnation(99), LENGTH));
     world.pass(steps(4_000));
-    // All but what the first itself counted.
+    // All counts except those of the killed entry.
     assert_eq!(sums(&mut world, "h-0", window)[0], 28);
 }
 
 #[test]
-fn bytes_told_do_not_grow_with_accounts_that_did_not_change() {
-    let told = |accounts: usize| {
+fn bytes_sent_do_not_grow_with_unchanged_accounts() {
+    let sent_bytes = |accounts: usize| {
         let mut world = counting(1, 8);
         begin(&mut world, "h-0", accounts);
         world.pass(steps(600));
@@ -96,6 +96,6 @@
         world.pass(steps(600));
         world.sent.iter().sum::<u64>() - before
     };
-    let (few, many) = (told(20), told(80));
+    let (few, many) = (sent_bytes(20), sent_bytes(80));
     assert!(many * 10 <= few * 11, "{few} {many}");
 }
--- a/crates/daemon/tests/growth.rs
+++ b/crates/daemon/tests/growth.rs
@@ -1,5 +1,5 @@
-//! How what entries do for control grows with their number: decisions, links and a store in simulated
-//! time, without a socket.
+//! Growth of the control traffic with the number of entries, with links and a store in simulated time
+//! and no sockets.
 
 use sorreldeck::Span;
 use sorreldeck_sim::{World, TICK};
@@ -18,18 +18,20 @@
     world
 }
 
-/// What some seconds of changes cost.
+/// Control traffic of 10 s with a change every second.
 #[derive(Debug)]
 struct Cost {
+    /// Bytes sent between data halls.
     crossed: u64,
+    /// Calls of the store.
     calls: u64,
-    /// The bytes that the middle entry sent.
+    /// Median of the bytes sent by an entry.
     middle: u64,
-    /// The links of the middle entry.
+    /// Median of the links of an entry.
     links: usize,
 }
 
-fn cost(entries: usize) -> Cost {
+fn measure(entries: usize) -> Cost {
     let mut world = started(7, HALLS, entries);
     let (crossed, calls) = (world.crossed, world.store.calls);
     let before = world.sent.clone();
@@ -53,28 +55,28 @@
 }
 
 #[test]
-fn changes_cost_four_times_the_entries_no_more_between_data_halls_nor_at_the_store() {
-    let (few, many) = (cost(15), cost(60));
+fn traffic_between_data_halls_and_to_the_store_does_not_grow_with_entries() {
+    let (few, many) = (measure(15), measure(60));
     assert!(many.crossed * 10 <= few.crossed * 11, "{few:?} {many:?}");
     assert!(many.calls <= few.calls + 3, "{few:?} {many:?}");
     assert!(many.middle * 10 <= few.middle * 11, "{few:?} {many:?}");
     assert_eq!(many.links, few.links);
 }
 
-/// What the store does while half of all entries are killed.
+/// State of the store while half of all entries are killed.
 #[derive(Clone, Copy, Debug)]
 enum Store {
-    Well,
-    Forgets,
-    TurnsAway,
+    Normal,
+    LosesHistory,
+    RefusesEntries,
     Restored,
 }
 
-#[test_case(Store::Well)]
-#[test_case(Store::Forgets)]
-#[test_case(Store::TurnsAway)]
+#[test_case(Store::Normal)]
+#[test_case(Store::LosesHistory)]
+#[test_case(Store::RefusesEntries)]
 #[test_case(Store::Restored)]
-fn half_of_64_entries_killed_at_once_are_back_and_hear_of_changes(store: Store) {
+fn half_of_64_entries_killed_at_once_recover_and_get_changes(store: Store) {
     for seed in 0..4 {
         let mut world = started(seed, 5, 64);
         let back = world.now + Span::from_millis(700);
@@ -82,9 +84,9 @@
             world.kill(node, back);
         }
         match store {
-            Store::Well => {}
-            Store::Forgets => world.forget(),
-            Store::TurnsAway => {
+            Store::Normal => {}
+            Store::LosesHistory => world.forget(),
+            Store::RefusesEntries => {
                 let until = world.now + Span::from_millis(4_000);
                 for node in 0..64 {
                     if node % 3 == 0 {
@@ -98,7 +100,7 @@
             }
         }
         world.pass(secs(2) + secs(1));
-        // Entries that start and are turned away ask the seeds, which are not played here.
+        // Starting entries that the store refuses would ask the seeds, which are not simulated.
         let now = world.now;
         let lost = world
             .nodes
