--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A sample of everything in one process, and calls of it.
+//! Helpers that start a complete sample in one process and call it.
 
 use serde_json::{json, Value};
 use sorreldeck::wire::Header;
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a test waits for something that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a condition that must occur has failed.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts a sample whose tree has these entries besides the usual ones.
+/// Starts a sample whose configuration has the entries of `more` in addition.
 pub async fn start(more: &str) -> Sample {
     let tree = format!("{}\n{more}", standalone::TREE);
     let free = "127.0.0.1:0".parse().unwrap();
@@ -26,14 +26,14 @@
     sample
 }
 
-/// Waits until something holds.
+/// Waits until a condition is true.
 pub async fn eventually<F>(what: &str, holds: impl Fn() -> F)
 where
     F: std::future::Future<Output = bool>,
 {
     let began = std::time::Instant::now();
     while !holds().await {
-        assert!(began.elapsed() < PATIENCE, "in vain: {what}");
+        assert!(began.elapsed() < TIMEOUT, "timed out: {what}");
         async_std::task::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/daemon/tests/hosted/main.rs
+++ b/crates/daemon/tests/hosted/main.rs
@@ -1,4 +1,4 @@
-//! A hosted entry before stand-ins of the platform, over real sockets.
+//! A hosted entry with stand-ins of the platform's store and of upstreams, over real sockets.
 
 mod leaving_upstream_not_heard_of;
 mod lost_upstream;
@@ -17,7 +17,7 @@
 use async_std::net::TcpStream;
 use async_std::task;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use runner::{Refused, Runner};
+use runner::{Refused, Upstream};
 use serde_json::{json, Value};
 use sorreldeck_platform::Settings;
 use sorreldeckd::clock::Clock;
@@ -27,17 +27,17 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use store::{Mood, Store};
+use store::{Behavior, Store};
 use test_case::test_case;
 
-/// How long a test waits for something that must happen.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a condition that must occur has failed.
+const TIMEOUT: Duration = Duration::from_secs(20);
 const KEY: &str = "n2ctnfzs989anu6wsjnb";
 
-/// A hosted entry, its store and its runners.
-struct Stand {
+/// A hosted entry, its store and its upstreams.
+struct Harness {
     store: Store,
-    runners: Vec<Runner>,
+    upstreams: Vec<Upstream>,
     entry: Running,
     clock: Clock,
 }
@@ -79,10 +79,10 @@
     })
 }
 
-fn announce(store: &Store, runner: &Runner, service: &str, state: &str) {
-    let row = json!({"service": service, "address": runner.address.to_string(), "zone": "a",
+fn announce(store: &Store, upstream: &Upstream, service: &str, state: &str) {
+    let row = json!({"service": service, "address": upstream.address.to_string(), "zone": "a",
         "version": "v1", "slots": 8, "state": state, "cold-left-ms": 0, "sequence": 1});
-    store.put("servers", &runner.id, &row);
+    store.put("servers", &upstream.id, &row);
 }
 
 async fn start_entry(store: &Store, name: &str, seeds: &[SocketAddr]) -> Running {
@@ -100,11 +100,11 @@
     seeds: &[SocketAddr],
     clock: Clock,
 ) -> Running {
-    start_entry_told(store, name, hall, seeds, clock, json!({})).await
+    start_entry_with_settings(store, name, hall, seeds, clock, json!({})).await
 }
 
-/// Starts an entry whose settings hold `more` besides.
-async fn start_entry_told(
+/// Starts an entry whose settings contain the fields of `more` in addition.
+async fn start_entry_with_settings(
     store: &Store,
     name: &str,
     hall: &str,
@@ -136,11 +136,11 @@
     hosted::start(options, settings, clock, stop).await.unwrap()
 }
 
-impl Stand {
-    async fn start() -> Stand {
+impl Harness {
+    async fn start() -> Harness {
         let store = Store::start().await;
         store.put("op", "config", &config(3, &[]));
-        let mut runners = Vec::new();
+        let mut upstreams = Vec::new();
         let refused = Refused::default();
         for (id, service) in [
             ("i-1", "clock"),
@@ -148,20 +148,20 @@
             ("i-3", "engines"),
             ("i-4", "engines"),
         ] {
-            let runner = Runner::start(id, &refused).await;
-            announce(&store, &runner, service, "ready");
-            runners.push(runner);
+            let upstream = Upstream::start(id, &refused).await;
+            announce(&store, &upstream, service, "ready");
+            upstreams.push(upstream);
         }
         let clock = store.clock.clone();
         let entry = start_entry_by(&store, "front-1", "a", &[], clock.clone()).await;
-        let stand = Stand {
+        let harness = Harness {
             store,
-            runners,
+            upstreams,
             entry,
             clock,
         };
-        stand.until_ready().await;
-        stand
+        harness.until_ready().await;
+        harness
     }
 
     async fn until_ready(&self) {
@@ -172,31 +172,31 @@
         ask(self.entry.callers, &request(path, "")).await
     }
 
-    /// Writes a configuration that has one more route.
+    /// Writes a configuration with one additional route.
     fn add_route(&self, version: u64, name: &str) {
         let added = route(name, "clock", "safe", json!({}));
         self.store.put("op", "config", &config(version, &[added]));
     }
 
-    /// Makes calls, which must succeed; returns how many reach a runner.
-    async fn reaching(&self, runner: usize, calls: usize) -> usize {
-        let runner = &self.runners[runner];
-        let before = runner.seen().len();
+    /// Makes calls, all of which must succeed; returns how many of them an upstream got.
+    async fn count_reaching(&self, upstream: usize, calls: usize) -> usize {
+        let upstream = &self.upstreams[upstream];
+        let before = upstream.seen().len();
         for _ in 0..calls {
             assert_eq!(status(&self.call("/once/body").await), 200);
         }
-        runner.seen().len() - before
+        upstream.seen().len() - before
     }
 
-    /// Returns how often a path was asked for at all runners.
-    fn asked(&self, path: &str) -> usize {
-        let all = self.runners.iter().flat_map(Runner::seen);
+    /// Returns how many requests with a path all upstreams got.
+    fn request_count(&self, path: &str) -> usize {
+        let all = self.upstreams.iter().flat_map(Upstream::seen);
         let named = |head: &str| head.split(' ').nth(1) == Some(path);
         all.filter(|s| named(&s.head)).count()
     }
 }
 
-/// Waits until an entry says that it is ready.
+/// Waits until an entry reports that it is ready.
 async fn until_ready(entry: &Running) {
     eventually("the entry is ready", || async {
         let text = "GET /ready HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
@@ -211,7 +211,7 @@
 {
     let began = Instant::now();
     while !holds().await {
-        assert!(began.elapsed() < PATIENCE, "in vain: {what}");
+        assert!(began.elapsed() < TIMEOUT, "timed out: {what}");
         task::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -223,7 +223,7 @@
     )
 }
 
-/// Sends a request and returns all that comes back until the end.
+/// Sends a request and returns everything received until the connection closes.
 async fn ask(address: SocketAddr, text: &str) -> String {
     let Ok(mut stream) = TcpStream::connect(address).await else {
         return String::new();
@@ -231,7 +231,7 @@
     stream.write_all(text.as_bytes()).await.unwrap();
     let mut all = Vec::new();
     let mut buf = [0; 4096];
-    // A connection that breaks ends the answer as it is.
+    // If the connection breaks, the answer is what was received so far.
     while let Ok(n) = stream.read(&mut buf).await {
         if n == 0 {
             break;
@@ -246,52 +246,52 @@
     code.unwrap_or(0)
 }
 
-/// Each row: what the runner does, the status that the caller gets, and how
-/// often the request is sent to runners.
+/// Each row: the route, the behaviour of the upstream, the status that the caller gets, and how often
+/// the request is sent to upstreams.
 #[test_case("once", "body", 200, 1)]
-#[test_case("once", "error", 500, 1; "an error of the runner is passed on")]
-#[test_case("once", "foreign", 502, 1; "an answer to another request is not given")]
-#[test_case("once", "unsigned", 502, 1; "a success without its receipt is not given")]
+#[test_case("once", "error", 500, 1; "an error of the upstream is passed on")]
+#[test_case("once", "foreign", 502, 1; "an answer to another request is not delivered")]
+#[test_case("once", "unsigned", 502, 1; "a success without a receipt is not delivered")]
 #[test_case("once", "junk", 502, 1; "bytes that are no answer")]
 #[test_case("once", "close", 502, 1; "a close without an answer may have run")]
-#[test_case("once", "hang", 504, 1; "no answer within the route's time")]
-#[test_case("once", "full", 503, 2; "every runner refuses, nothing ran")]
-#[test_case("once", "once-full", 200, 2; "a refusal is tried elsewhere")]
-#[test_case("look", "close", 502, 2; "what may be repeated is, up to its tries")]
-#[test_case("look", "moved", 503, 2; "another runner has the address")]
+#[test_case("once", "hang", 504, 1; "no answer within the timeout of the route")]
+#[test_case("once", "full", 503, 2; "every upstream refuses, nothing ran")]
+#[test_case("once", "once-full", 200, 2; "a refusal is retried at another upstream")]
+#[test_case("look", "close", 502, 2; "a repeatable request is retried up to its limit")]
+#[test_case("look", "moved", 503, 2; "another upstream has the address")]
 #[test_case("look", "unframed", 200, 1; "an answer that ends with its connection")]
-#[test_case("look", "foreign", 502, 2; "a foreign answer is asked again")]
-fn a_runner_misbehaves(route: &str, action: &str, expected: u16, sent: usize) {
+#[test_case("look", "foreign", 502, 2; "an answer to another request causes a retry")]
+fn an_upstream_misbehaves(route: &str, action: &str, expected: u16, sent: usize) {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         let path = format!("/{route}/{action}");
-        let answer = stand.call(&path).await;
+        let answer = harness.call(&path).await;
         assert_eq!(status(&answer), expected, "{answer}");
-        assert_eq!(stand.asked(&path), sent);
+        assert_eq!(harness.request_count(&path), sent);
         if expected == 503 {
             assert!(answer.contains("retry-after"), "{answer}");
         }
         assert_eq!(
-            status(&stand.call("/once/body").await),
+            status(&harness.call("/once/body").await),
             200,
-            "the entry goes on"
+            "the entry keeps serving"
         );
     });
 }
 
 #[test]
-fn a_call_reaches_the_runner_unchanged() {
+fn a_call_reaches_the_upstream_unchanged() {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         let more = "x-own: kept\r\ntenant: forged\r\nhold: 1\r\nkv-from: 1\r\npriority: 0\r\n";
         let answer = ask(
-            stand.entry.callers,
+            harness.entry.callers,
             &request("/once/body?page=7&sort=new", more),
         )
         .await;
         assert_eq!(status(&answer), 200);
         assert!(answer.contains("response-signature: s.i-"), "{answer}");
-        let seen: Vec<_> = stand.runners.iter().flat_map(Runner::seen).collect();
+        let seen: Vec<_> = harness.upstreams.iter().flat_map(Upstream::seen).collect();
         let head = &seen[0].head;
         assert_eq!(seen[0].body, b"work");
         assert!(head.starts_with("POST /once/body?page=7&sort=new HTTP/1.1"));
@@ -299,20 +299,20 @@
         assert_eq!(store::header(head, "tenant"), Some("payroll"));
         assert_eq!(store::header(head, "request-id"), Some("9c41d07b"));
         assert!(store::header(head, "expect-instance").is_some());
-        for ours in ["hold", "kv-from", "authorization"] {
-            assert_eq!(store::header(head, ours), None, "{ours}");
+        for own_header in ["hold", "kv-from", "authorization"] {
+            assert_eq!(store::header(head, own_header), None, "{own_header}");
         }
         let left: u64 = store::header(head, "deadline-ms").unwrap().parse().unwrap();
-        assert!(left <= 2000, "no more than the route allows: {left}");
+        assert!(left <= 2000, "more than the timeout of the route: {left}");
     });
 }
 
 #[test_case("/once/body", "authorization: Bearer other", 401)]
 #[test_case("/nowhere/body", "", 404)]
 #[test_case("/draft/stream", "model: large", 421)]
-fn what_is_not_allowed_is_refused(path: &str, more: &str, expected: u16) {
+fn disallowed_requests_are_refused(path: &str, more: &str, expected: u16) {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         let name = more.split(':').next().unwrap();
         let text = request(path, "");
         let kept = text
@@ -323,26 +323,26 @@
             true => text,
             false => text.replacen("\r\nhost", &format!("\r\n{more}\r\nhost"), 1),
         };
-        let answer = ask(stand.entry.callers, &text).await;
+        let answer = ask(harness.entry.callers, &text).await;
         assert_eq!(status(&answer), expected, "{answer}");
-        assert_eq!(stand.asked(path), 0);
+        assert_eq!(harness.request_count(path), 0);
     });
 }
 
 #[test]
 fn a_body_that_is_too_large_is_refused() {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         let text = request("/once/body", "").replace("content-length: 4", "content-length: 100001");
-        assert_eq!(status(&ask(stand.entry.callers, &text).await), 413);
+        assert_eq!(status(&ask(harness.entry.callers, &text).await), 413);
     });
 }
 
 #[test]
-fn a_stream_comes_whole() {
+fn a_stream_is_delivered_completely() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        let answer = stand.call("/talk/stream").await;
+        let harness = Harness::start().await;
+        let answer = harness.call("/talk/stream").await;
         assert!(
             answer.contains("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"),
             "{answer}"
@@ -352,33 +352,33 @@
 }
 
 #[test]
-fn a_stream_that_breaks_off_goes_on_at_another_runner() {
+fn a_broken_stream_continues_at_another_upstream() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        let answer = stand.call("/talk/broken-stream").await;
+        let harness = Harness::start().await;
+        let answer = harness.call("/talk/broken-stream").await;
         assert_eq!(answer.matches("HTTP/1.1").count(), 1);
         assert_eq!(answer.matches("id: 2").count(), 1, "{answer}");
         assert!(answer.contains("id: 2\ndata: b\n\n"), "{answer}");
         assert!(answer.ends_with("0\r\n\r\n"), "{answer}");
-        assert_eq!(stand.asked("/talk/broken-stream"), 2);
+        assert_eq!(harness.request_count("/talk/broken-stream"), 2);
     });
 }
 
 #[test]
-fn an_unsure_answer_is_asked_of_the_larger_model() {
+fn an_answer_of_low_confidence_is_escalated_to_the_larger_model() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        let answer = stand.call("/draft/unsure").await;
+        let harness = Harness::start().await;
+        let answer = harness.call("/draft/unsure").await;
         assert!(answer.contains("data: large"), "{answer}");
         assert!(!answer.contains("data: small"), "{answer}");
     });
 }
 
 #[test]
-fn an_answer_that_is_cut_does_not_look_whole() {
+fn a_truncated_answer_does_not_look_complete() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        let answer = stand.call("/once/cut").await;
+        let harness = Harness::start().await;
+        let answer = harness.call("/once/cut").await;
         assert!(answer.contains("content-length: 10"), "{answer}");
         let body = answer.split("\r\n\r\n").nth(1).unwrap();
         assert!(body.len() < 10, "{answer}");
@@ -386,30 +386,30 @@
 }
 
 #[test]
-fn bytes_after_an_answer_reach_nobody() {
+fn bytes_after_an_answer_are_discarded() {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         for _ in 0..6 {
-            let answer = stand.call("/look/extra").await;
+            let answer = harness.call("/look/extra").await;
             assert!(!answer.contains("extra"), "{answer}");
-            assert_eq!(status(&stand.call("/look/body").await), 200);
+            assert_eq!(status(&harness.call("/look/body").await), 200);
         }
     });
 }
 
 #[test]
-fn a_caller_that_leaves_stops_its_run() {
+fn a_run_is_cancelled_when_its_caller_disconnects() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        let mut stream = TcpStream::connect(stand.entry.callers).await.unwrap();
+        let harness = Harness::start().await;
+        let mut stream = TcpStream::connect(harness.entry.callers).await.unwrap();
         let text = request("/talk/slow-stream", "");
         stream.write_all(text.as_bytes()).await.unwrap();
         let mut buf = [0; 512];
         assert!(stream.read(&mut buf).await.unwrap() > 0);
         let began = Instant::now();
         drop(stream);
-        eventually("the runner sees the caller leave", || async {
-            stand.runners.iter().any(|r| r.left() > 0)
+        eventually("the upstream sees that its caller disconnected", || async {
+            harness.upstreams.iter().any(|r| r.left() > 0)
         })
         .await;
         assert!(began.elapsed() < Duration::from_millis(1500));
@@ -417,104 +417,115 @@
 }
 
 #[test]
-fn connections_to_runners_are_kept() {
+fn connections_to_upstreams_are_reused() {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         for _ in 0..5 {
-            assert_eq!(status(&stand.call("/look/body").await), 200);
+            assert_eq!(status(&harness.call("/look/body").await), 200);
         }
-        let connections: u32 = stand.runners.iter().map(Runner::connections).sum();
+        let connections: u32 = harness.upstreams.iter().map(Upstream::connections).sum();
         assert!(connections <= 2, "{connections} connections for five calls");
     });
 }
 
-/// Found on reading: the condition looked at the release, which every runner has.
+/// Guards against reused connections for calls that may run once: the condition tested for a release,
+/// which every upstream has.
 #[test]
-fn a_call_that_may_run_once_goes_over_a_new_connection() {
+fn a_call_that_may_run_once_uses_a_new_connection() {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         for _ in 0..5 {
-            assert_eq!(status(&stand.call("/look/body").await), 200);
+            assert_eq!(status(&harness.call("/look/body").await), 200);
         }
-        let connections = || stand.runners.iter().map(Runner::connections).sum::<u32>();
+        let connections = || {
+            harness
+                .upstreams
+                .iter()
+                .map(Upstream::connections)
+                .sum::<u32>()
+        };
         let before = connections();
         for _ in 0..3 {
-            assert_eq!(status(&stand.call("/once/body").await), 200);
+            assert_eq!(status(&harness.call("/once/body").await), 200);
         }
         assert_eq!(connections(), before + 3);
     });
 }
 
 #[test]
-fn a_newer_configuration_comes_in_force() {
+fn a_newer_configuration_is_applied() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        assert_eq!(status(&stand.call("/later/body").await), 404);
-        stand.add_route(9, "later");
+        let harness = Harness::start().await;
+        assert_eq!(status(&harness.call("/later/body").await), 404);
+        harness.add_route(9, "later");
         eventually("the new route is served", || async {
-            status(&stand.call("/later/body").await) == 200
+            status(&harness.call("/later/body").await) == 200
         })
         .await;
     });
 }
 
 #[test]
-fn a_forgotten_history_loses_nothing() {
+fn no_change_is_missed_when_the_store_loses_its_history() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        stand.store.set(Mood::Busy);
+        let harness = Harness::start().await;
+        harness.store.set_behavior(Behavior::Busy);
         task::sleep(Duration::from_millis(300)).await;
-        stand.add_route(9, "later");
-        announce(&stand.store, &stand.runners[0], "clock", "draining");
-        stand.store.forget();
-        stand.store.set(Mood::Well);
+        harness.add_route(9, "later");
+        announce(&harness.store, &harness.upstreams[0], "clock", "draining");
+        harness.store.lose_history();
+        harness.store.set_behavior(Behavior::Normal);
         eventually("the new route is served", || async {
-            status(&stand.call("/later/body").await) == 200
+            status(&harness.call("/later/body").await) == 200
         })
         .await;
-        assert_eq!(stand.reaching(0, 6).await, 0, "a leaving runner is asked");
+        assert_eq!(
+            harness.count_reaching(0, 6).await,
+            0,
+            "a leaving upstream is asked"
+        );
     });
 }
 
 #[test]
-fn a_runner_that_leaves_gets_nothing_new() {
+fn a_leaving_upstream_gets_no_new_requests() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        stand.store.drop_row("servers", "i-1");
+        let harness = Harness::start().await;
+        harness.store.drop_row("servers", "i-1");
         let gone = || async {
-            let before = stand.runners[0].seen().len();
+            let before = harness.upstreams[0].seen().len();
             for _ in 0..4 {
-                stand.call("/once/body").await;
+                harness.call("/once/body").await;
             }
-            stand.runners[0].seen().len() == before
+            harness.upstreams[0].seen().len() == before
         };
-        eventually("the runner gets nothing", gone).await;
+        eventually("the upstream gets no requests", gone).await;
     });
 }
 
 #[test]
-fn what_is_known_is_served_while_the_store_is_away() {
+fn requests_are_served_during_an_outage_of_the_store() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        for mood in [Mood::Busy, Mood::Reset] {
-            stand.store.set(mood);
+        let harness = Harness::start().await;
+        for behavior in [Behavior::Busy, Behavior::Reset] {
+            harness.store.set_behavior(behavior);
             task::sleep(Duration::from_millis(400)).await;
-            assert_eq!(status(&stand.call("/once/body").await), 200);
+            assert_eq!(status(&harness.call("/once/body").await), 200);
         }
     });
 }
 
-/// Found on reading: a wait that began just before the end of an outage could hang for
-/// 4 s, where what came in force meanwhile counts from 3 s after it.
+/// Guards against long waits around an outage: a wait that began just before its end could hang for
+/// 4 s, but changes made during the outage must be applied within 3 s after it.
 #[test]
-fn a_store_that_was_away_is_waited_on_for_less() {
+fn waits_are_short_after_an_outage_of_the_store() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        let usual = || stand.store.waits().last().is_some_and(|wait| *wait > 500);
+        let harness = Harness::start().await;
+        let usual = || harness.store.waits().last().is_some_and(|wait| *wait > 500);
         eventually("changes are waited for", || async { usual() }).await;
-        stand.store.set(Mood::Busy);
+        harness.store.set_behavior(Behavior::Busy);
         eventually("the waits are short", || async { !usual() }).await;
-        stand.store.set(Mood::Well);
+        harness.store.set_behavior(Behavior::Normal);
         eventually("the waits are long again", || async { usual() }).await;
     });
 }
@@ -522,10 +533,10 @@
 #[test]
 fn an_entry_without_the_store_learns_from_another() {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         let away = Store::start().await;
-        away.set(Mood::Busy);
-        let other = start_entry(&away, "front-2", &[stand.entry.links.unwrap()]).await;
+        away.set_behavior(Behavior::Busy);
+        let other = start_entry(&away, "front-2", &[harness.entry.links.unwrap()]).await;
         eventually("the other entry serves", || async {
             status(&ask(other.callers, &request("/once/body", "")).await) == 200
         })
@@ -534,72 +545,72 @@
 }
 
 #[test]
-fn a_move_is_recorded_and_ends() {
+fn a_rollout_is_recorded_and_completes() {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         let order = json!({"service": "engines", "target-version": "v2", "duration-s": 6});
-        stand.store.put("op", "rollout/engines", &order);
+        harness.store.put("op", "rollout/engines", &order);
         let state = || {
-            let row = stand.store.get("status", "rollout/engines");
+            let row = harness.store.get("status", "rollout/engines");
             row.and_then(|r| r["state"].as_str().map(str::to_owned))
         };
-        eventually("the move is running", || async {
+        eventually("the roll-out is running", || async {
             state().as_deref() == Some("running")
         })
         .await;
-        let runner = Runner::start("i-9", &Refused::default()).await;
-        let row = json!({"service": "engines", "address": runner.address.to_string(),
+        let upstream = Upstream::start("i-9", &Refused::default()).await;
+        let row = json!({"service": "engines", "address": upstream.address.to_string(),
             "zone": "a", "version": "v2", "slots": 8, "state": "ready", "cold-left-ms": 0,
             "sequence": 1});
-        stand.store.put("servers", "i-9", &row);
-        eventually("the move is completed", || async {
-            stand.call("/talk/stream").await;
+        harness.store.put("servers", "i-9", &row);
+        eventually("the roll-out is completed", || async {
+            harness.call("/talk/stream").await;
             state().as_deref() == Some("completed")
         })
         .await;
-        assert!(!runner.seen().is_empty());
+        assert!(!upstream.seen().is_empty());
     });
 }
 
 #[test]
-fn a_record_whose_answer_is_lost_is_made_once() {
+fn a_record_whose_acknowledgement_is_lost_is_written_once() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        stand.store.set(Mood::Lost);
+        let harness = Harness::start().await;
+        harness.store.set_behavior(Behavior::LoseAcks);
         let order = json!({"service": "engines", "target-version": "v2", "duration-s": 30});
-        stand.store.put("op", "rollout/engines", &order);
-        eventually("the move is running", || async {
-            let row = stand.store.get("status", "rollout/engines");
+        harness.store.put("op", "rollout/engines", &order);
+        eventually("the roll-out is running", || async {
+            let row = harness.store.get("status", "rollout/engines");
             row.is_some_and(|r| r["state"] == "running")
         })
         .await;
-        let before = stand.store.version("status", "rollout/engines");
+        let before = harness.store.version("status", "rollout/engines");
         task::sleep(Duration::from_millis(2_500)).await;
-        assert_eq!(stand.store.version("status", "rollout/engines"), before);
+        assert_eq!(harness.store.version("status", "rollout/engines"), before);
     });
 }
 
 #[test]
-fn a_planned_stop_cuts_nothing_and_ends() {
+fn a_planned_stop_drains_requests_and_ends() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        let callers = stand.entry.callers;
+        let harness = Harness::start().await;
+        let callers = harness.entry.callers;
         let long = task::spawn(async move { ask(callers, &request("/once/long", "")).await });
         task::sleep(Duration::from_millis(200)).await;
-        stand.entry.stop.start();
+        harness.entry.stop.start();
         assert_eq!(status(&long.await), 200);
         let ready = "GET /ready HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
-        assert_eq!(status(&ask(stand.entry.ready, ready).await), 503);
-        let ended = async_std::future::timeout(Duration::from_secs(6), stand.entry.stop.ended());
+        assert_eq!(status(&ask(harness.entry.ready, ready).await), 503);
+        let ended = async_std::future::timeout(Duration::from_secs(6), harness.entry.stop.ended());
         ended
             .await
             .expect("the process ends well before it is killed");
-        let before = stand.store.calls();
+        let before = harness.store.calls();
         task::sleep(Duration::from_millis(500)).await;
-        let after = stand.store.calls();
+        let after = harness.store.calls();
         assert!(
             after - before < 10,
-            "the store is still asked: {before}, {after}"
+            "the store is still called: {before}, {after}"
         );
     });
 }
--- a/crates/daemon/tests/hosted/many_rows.rs
+++ b/crates/daemon/tests/hosted/many_rows.rs
@@ -1,10 +1,10 @@
-//! A table of more rows than one page holds.
+//! Guards against rows that are lost between the pages of a table.
 //!
-//! What users would see: an upstream that nobody calls until its row changes, or, where it was
-//! known, one that is left though it is well. Order of events: an entry reads a page of 500 rows;
-//! the last of them goes; the next page begins with the row after it, which was taken for the
-//! one that both pages hold and left out. Cause: rows were counted where keys tell which they
-//! are. Evidence: of 1,200 rows two were missing, the first of the second and third page.
+//! An entry reads a page of 500 rows, and the last of these is removed before the next page is read.
+//! That page begins with the following row, which was skipped as the one that both pages contain,
+//! because rows were counted instead of compared by key. Of 1,200 rows two were missing, the first
+//! of the second and of the third page. Such an upstream gets no requests until its row changes, or
+//! is retired although it works.
 
 use super::*;
 use sorreldeck_platform::{Store as Client, Table};
@@ -18,9 +18,9 @@
     format!("i-{number:04}")
 }
 
-/// Each row: how many rows go while the table is read.
+/// Each row: the number of rows removed while the table is read.
 #[test_case(0; "nothing changes")]
-#[test_case(2; "the last row of each page goes before the next is read")]
+#[test_case(2; "the last row of each page is removed before the next is read")]
 fn a_table_of_many_rows_is_read_whole(going: usize) {
     task::block_on(async {
         let store = Store::start().await;
@@ -28,7 +28,7 @@
             store.put("servers", &key(number), &json!({"service": "engines"}));
         }
         if going > 0 {
-            store.lose_last_rows();
+            store.remove_last_rows();
         }
         let client = Client::new(store.address);
         let page = client.read(Table::Upstreams).await.unwrap();
@@ -36,7 +36,7 @@
         let missing: Vec<String> = (0..ROWS).map(key).filter(|k| !known.contains(k)).collect();
         assert!(missing.is_empty(), "{missing:?}");
         assert_eq!(page.rows.len(), ROWS, "no row comes twice");
-        // What went while the table was read came after the version that it was read at.
+        // Rows removed while the table was read have later versions than the table.
         let later = client.follow(Table::Upstreams, page.version, Duration::ZERO);
         let later = later.await.unwrap().rows;
         assert_eq!(
--- a/crates/daemon/tests/hosted/request_that_crashes_upstreams.rs
+++ b/crates/daemon/tests/hosted/request_that_crashes_upstreams.rs
@@ -1,43 +1,43 @@
-//! A request that crashes every upstream that begins to run it was sent on, again and again.
+//! Guards against a request that crashes every upstream that runs it and is sent on all the same.
 //!
-//! Callers of everything else lost their answers with each upstream. One caller sent the same
-//! call again under another request id, to any entry. Each entry took it for a new request: what a
-//! run had done to its upstream was put down to the upstream alone and forgotten with the request. It
-//! went to the next upstream, by the entry itself where its route allows a second try, and that
-//! crashed as well; the upstreams that came back in the place of the lost ones were next.
+//! A caller repeated one call under new request ids, at any entry, and each entry took it for a new
+//! request: the crash was attributed to the upstream only and forgotten with the request. The call
+//! went to the next upstream, also as a retry where its route allows one, and crashed that as well,
+//! and then the replacements of the lost upstreams. Every crash broke the answers of other callers.
 //!
-//! Evidence: the lines of three entries over 9 s hold one call 22 times, each time with another id, and no
-//! other call more than twice; none was answered whole; each of its runs that began ended 40 to 110 ms
-//! later with the connection broken, and the upstream refused connections from then on.
+//! In 9 s three entries sent that call 22 times and no other call more than twice. None of its runs
+//! completed: each ended after 40 to 110 ms with a broken connection, and its upstream refused
+//! connections from then on.
 
 use super::*;
 use std::collections::BTreeSet;
 use std::sync::Mutex;
 use test_case::test_case;
 
-/// Within which time all entries must know of what one of them has seen.
+/// Time within which all entries must know of a crash that one of them has seen.
 const CONTACT: Duration = Duration::from_millis(3_000);
-/// How often a request that has crashed three upstreams may be sent after that, over all entries.
+/// How often all entries together may send the request after three crashes are known.
 const SENDS: usize = 3;
-/// The share of all other requests that must be served in that time. Measured beside the request: 0.28
-/// to 0.57 where nothing is held against it, three runs of three rows.
+/// Share of the other requests that must be served after that. Without a quarantine of the request it
+/// is 0.28 to 0.57.
 const SERVED: f64 = 0.9;
-/// How long the request goes on coming, and how often: five times a second.
+/// Time for which the request is repeated.
 const LASTS: Duration = Duration::from_millis(7_000);
+/// Interval between repetitions of the request.
 const EVERY: Duration = Duration::from_millis(200);
-/// How often something else is asked.
+/// Interval between other requests.
 const OTHERS_EVERY: Duration = Duration::from_millis(40);
-/// How long a crashed upstream is away, and how long its row stays.
+/// Time after a crash until the row of the upstream is removed and a replacement starts.
 const AWAY: Duration = Duration::from_millis(1_000);
-/// The upstreams of the service.
+/// Number of upstreams of the service.
 const UPSTREAMS: usize = 8;
 
-/// Upstreams of one service; others come for those that crash.
+/// Upstreams of one service; those that crash are replaced.
 #[derive(Clone)]
 struct Fleet {
     store: Store,
     service: &'static str,
-    runners: Arc<Mutex<Vec<Runner>>>,
+    upstreams: Arc<Mutex<Vec<Upstream>>>,
     crashes: Arc<Mutex<Vec<Instant>>>,
 }
 
@@ -46,7 +46,7 @@
         let fleet = Fleet {
             store: store.clone(),
             service,
-            runners: Arc::default(),
+            upstreams: Arc::default(),
             crashes: Arc::default(),
         };
         for _ in 0..UPSTREAMS {
@@ -56,17 +56,17 @@
     }
 
     async fn add(&self) {
-        let number = self.runners.lock().unwrap().len();
+        let number = self.upstreams.lock().unwrap().len();
         let id = format!("i-{}-{number}", self.service);
-        let runner = Runner::start(&id, &Refused::default()).await;
-        announce(&self.store, &runner, self.service, "ready");
-        self.runners.lock().unwrap().push(runner.clone());
+        let upstream = Upstream::start(&id, &Refused::default()).await;
+        announce(&self.store, &upstream, self.service, "ready");
+        self.upstreams.lock().unwrap().push(upstream.clone());
         let fleet = self.clone();
         task::spawn(async move {
-            runner.ended().await;
+            upstream.ended().await;
             fleet.crashes.lock().unwrap().push(Instant::now());
             task::sleep(AWAY).await;
-            fleet.store.drop_row("servers", &runner.id);
+            fleet.store.drop_row("servers", &upstream.id);
             fleet.replace().await;
         });
     }
@@ -75,42 +75,42 @@
         Box::pin(self.add())
     }
 
-    /// Returns when the third upstream crashed.
+    /// Returns the time of the third crash.
     fn third_crash(&self) -> Option<Instant> {
         self.crashes.lock().unwrap().get(2).copied()
     }
 
-    /// Returns when upstreams got calls of a path.
+    /// Returns the times at which upstreams done calls with a path.
     fn sends(&self, path: &str) -> Vec<Instant> {
-        let runners = self.runners.lock().unwrap().clone();
-        let seen = runners.iter().flat_map(Runner::seen);
-        let of = |head: &str| head.split(' ').nth(1) == Some(path);
-        seen.filter(|s| of(&s.head)).map(|s| s.at).collect()
+        let upstreams = self.upstreams.lock().unwrap().clone();
+        let seen = upstreams.iter().flat_map(Upstream::seen);
+        let matches = |head: &str| head.split(' ').nth(1) == Some(path);
+        seen.filter(|s| matches(&s.head)).map(|s| s.at).collect()
     }
 }
 
-/// What a caller got, and when it asked.
+/// The answer to a call, with the time of the call.
 #[derive(Clone, Debug)]
-struct Got {
+struct Call {
     asked: Instant,
     took: Duration,
     answer: String,
 }
 
-impl Got {
+impl Call {
     fn is_good(&self) -> bool {
         let is_whole = self.answer.ends_with("steady") || self.answer.ends_with("0\r\n\r\n");
         status(&self.answer) == 200 && is_whole
     }
 }
 
-/// Asks entries in turn until a time; returns what came of it.
+/// Calls the entries in turn until a time; returns the answers.
 async fn call_until(
     entries: Vec<SocketAddr>,
     until: Instant,
     every: Duration,
     path: impl Fn(usize) -> String,
-) -> Vec<Got> {
+) -> Vec<Call> {
     let mut calls = Vec::new();
     for (number, entry) in entries.iter().cycle().enumerate() {
         if Instant::now() >= until {
@@ -121,7 +121,7 @@
             let asked = Instant::now();
             let answer = ask(entry, &text).await;
             let took = asked.elapsed();
-            Got {
+            Call {
                 asked,
                 took,
                 answer,
@@ -129,14 +129,14 @@
         }));
         task::sleep(every).await;
     }
-    let mut got = Vec::new();
+    let mut done = Vec::new();
     for call in calls {
-        got.push(call.await);
+        done.push(call.await);
     }
-    got
+    done
 }
 
-/// Starts an entry in each of the data halls; returns where they take callers.
+/// Starts an entry in each of the data halls and waits until all are ready and linked.
 async fn entries(store: &Store, halls: [&str; 3]) -> Vec<Running> {
     let mut entries = Vec::new();
     for (number, hall) in halls.iter().enumerate() {
@@ -146,18 +146,18 @@
     for entry in &entries {
         until_ready(entry).await;
     }
-    // Links between them open within some 100 ms of their announcements.
+    // Links between the entries open within about 100 ms of their announcements.
     task::sleep(Duration::from_millis(500)).await;
     entries
 }
 
-/// Each row: the service, the route, how the request ends, what others ask for, and the data
-/// halls of the entries.
-#[test_case("engines", "talk", "crash-stream", "steady-stream", ["a", "b", "c"]; "a stream that has begun, entries that read the store")]
+/// Each row: the service, the route, the actions of the crashing and of the other requests, and the
+/// data halls of the entries.
+#[test_case("engines", "talk", "crash-stream", "steady-stream", ["a", "b", "c"]; "a stream that has begun, all entries read the store")]
 #[test_case("engines", "talk", "crash", "steady-stream", ["a", "a", "a"]; "a stream before its head, entries of one hall")]
 #[test_case("clock", "look", "crash", "steady", ["a", "b", "b"]; "a call of a plain service that may be repeated")]
 #[test_case("clock", "once", "crash", "steady", ["a", "b", "c"]; "a call of a plain service that may run once")]
-fn a_request_that_crashes_upstreams_is_not_sent_on(
+fn a_request_that_crashes_upstreams_is_quarantined(
     service: &'static str,
     route: &'static str,
     ends: &str,
@@ -183,8 +183,8 @@
         let late: Vec<Instant> = fleet.sends(&crashing);
         let late = late.into_iter().filter(|at| *at > known).count();
         let lost: BTreeSet<Instant> = fleet.crashes.lock().unwrap().iter().copied().collect();
-        let others: Vec<&Got> = others.iter().filter(|got| got.asked > known).collect();
-        let good = others.iter().filter(|got| got.is_good()).count();
+        let others: Vec<&Call> = others.iter().filter(|done| done.asked > known).collect();
+        let good = others.iter().filter(|done| done.is_good()).count();
         let share = good as f64 / others.len() as f64;
         assert!(
             late <= SENDS,
@@ -192,17 +192,17 @@
             lost.len()
         );
         assert!(share >= SERVED, "{good} of {} others served", others.len());
-        for got in refused.iter().filter(|got| got.asked > known) {
-            assert_eq!(status(&got.answer), 503, "{}", got.answer);
-            assert!(got.answer.contains("retry-after"), "{}", got.answer);
-            assert!(got.took < Duration::from_millis(250), "{:?}", got.took);
+        for done in refused.iter().filter(|done| done.asked > known) {
+            assert_eq!(status(&done.answer), 503, "{}", done.answer);
+            assert!(done.answer.contains("retry-after"), "{}", done.answer);
+            assert!(done.took < Duration::from_millis(250), "{:?}", done.took);
         }
     });
 }
 
-/// An entry that starts after the request was found out knows it from the platform's store.
+/// An entry that starts after the request was quarantined learns of it from the platform's store.
 #[test]
-fn an_entry_that_starts_midway_does_not_send_it_on() {
+fn an_entry_that_starts_later_knows_the_quarantine() {
     task::block_on(async {
         let store = Store::start().await;
         store.put("op", "config", &config(3, &[]));
@@ -226,10 +226,11 @@
     });
 }
 
-/// Many ask the same while upstreams crash for another reason: nobody is refused for it.
+/// Many callers send the same request while upstreams crash for another reason: it is not
+/// quarantined.
 #[test_case("engines", "talk", "steady-stream")]
 #[test_case("clock", "look", "steady")]
-fn what_many_ask_is_sent_on_while_upstreams_crash(
+fn a_frequent_request_is_not_quarantined_for_unrelated_crashes(
     service: &'static str,
     route: &'static str,
     action: &'static str,
@@ -247,16 +248,16 @@
         }));
         for _ in 0..12 {
             task::sleep(Duration::from_millis(350)).await;
-            let alive = fleet.runners.lock().unwrap().clone();
-            let alive = alive.into_iter().find(|runner| !runner.has_crashed());
-            alive.expect("others came for those that crashed").crash();
+            let alive = fleet.upstreams.lock().unwrap().clone();
+            let alive = alive.into_iter().find(|upstream| !upstream.has_crashed());
+            alive.expect("crashed upstreams were replaced").crash();
         }
         let calls = calls.await;
-        let held = calls
+        let quarantined = calls
             .iter()
-            .filter(|got| got.answer.contains("quarantined"));
-        assert_eq!(held.count(), 0);
-        let good = calls.iter().filter(|got| got.is_good()).count();
+            .filter(|done| done.answer.contains("quarantined"));
+        assert_eq!(quarantined.count(), 0);
+        let good = calls.iter().filter(|done| done.is_good()).count();
         assert!(good * 10 > calls.len() * 8, "{good} of {}", calls.len());
     });
 }
--- a/crates/daemon/tests/hosted/runner.rs
+++ b/crates/daemon/tests/hosted/runner.rs
@@ -1,4 +1,4 @@
-//! A stand-in of an upstream that does as each request's path says.
+//! Stand-in of an upstream that behaves as the last part of each request's path says.
 
 use super::store::{header, read_message};
 use async_channel::{Receiver, Sender};
@@ -10,12 +10,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a request runs before its upstream crashes.
+/// Time for which a request runs before it crashes its upstream.
 const CRASHES_AFTER: Duration = Duration::from_millis(60);
-/// How long an answer takes that other requests may break.
+/// Duration of a request that runs long enough for a crash to break it.
 const STEADY: Duration = Duration::from_millis(150);
 
-/// What a runner has seen.
+/// A request that an upstream got, and when.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub at: Instant,
@@ -23,38 +23,38 @@
     pub body: Vec<u8>,
 }
 
-/// An upstream.
+/// A stand-in of an upstream.
 #[derive(Clone)]
-pub struct Runner {
+pub struct Upstream {
     pub id: String,
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Seen>>>,
     left: Arc<Mutex<u32>>,
     connections: Arc<Mutex<u32>>,
     refused: Refused,
-    /// Header lines that stand in all its answers.
-    says: Arc<Mutex<String>>,
-    /// Open as long as the process lives.
+    /// Header lines added to all answers.
+    headers: Arc<Mutex<String>>,
+    /// Channel that is open until the simulated process crashes.
     life: (Sender<()>, Receiver<()>),
 }
 
-/// The paths that some runner has refused once.
+/// Paths that one of the upstreams has refused once.
 pub type Refused = Arc<Mutex<BTreeSet<String>>>;
 
-impl Runner {
-    pub async fn start(id: &str, refused: &Refused) -> Runner {
+impl Upstream {
+    pub async fn start(id: &str, refused: &Refused) -> Upstream {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let runner = Runner {
+        let upstream = Upstream {
             id: id.to_owned(),
             address: listener.local_addr().unwrap(),
             seen: Arc::default(),
             left: Arc::default(),
             connections: Arc::default(),
             refused: refused.clone(),
-            says: Arc::default(),
+            headers: Arc::default(),
             life: async_channel::bounded(1),
         };
-        let serving = runner.clone();
+        let serving = upstream.clone();
         let accept = async move {
             while let Ok((stream, _)) = listener.accept().await {
                 *serving.connections.lock().unwrap() += 1;
@@ -63,12 +63,12 @@
                 task::spawn(serve.or(async move { dead.ended().await }));
             }
         };
-        let dead = runner.clone();
+        let dead = upstream.clone();
         task::spawn(accept.or(async move { dead.ended().await }));
-        runner
+        upstream
     }
 
-    /// Ends the process as a crash does: nobody listens, and all connections close.
+    /// Simulates a crash of the process: the listener and all connections close.
     pub fn crash(&self) {
         self.life.0.close();
     }
@@ -80,26 +80,26 @@
 
     /// Waits until the process has crashed.
     pub async fn ended(&self) {
-        // Nothing is ever sent: the channel closes.
+        // Nothing is sent over the channel; it is only closed.
         let _ = self.life.1.recv().await;
     }
 
-    /// Has header lines stand in all answers from now on, each with its end.
-    pub fn say(&self, lines: &str) {
-        lines.clone_into(&mut self.says.lock().unwrap());
+    /// Adds header lines, each with its line end, to all answers from now on.
+    pub fn set_headers(&self, lines: &str) {
+        lines.clone_into(&mut self.headers.lock().unwrap());
     }
 
-    /// Returns what was asked so far.
+    /// Returns the requests received so far.
     pub fn seen(&self) -> Vec<Seen> {
         self.seen.lock().unwrap().clone()
     }
 
-    /// Returns how many connections were opened so far.
+    /// Returns the number of connections opened so far.
     pub fn connections(&self) -> u32 {
         *self.connections.lock().unwrap()
     }
 
-    /// Returns how many callers left while their request ran.
+    /// Returns the number of callers that disconnected while their request ran.
     pub fn left(&self) -> u32 {
         *self.left.lock().unwrap()
     }
@@ -118,8 +118,7 @@
         }
     }
 
-    /// Answers as the last part of the path says; returns whether the
-    /// connection goes on.
+    /// Answers as the last part of the path says; returns whether the connection stays open.
     async fn act(&self, stream: &mut TcpStream, head: &str) -> bool {
         let label = header(head, "request-id").unwrap_or("none").to_owned();
         let path = head.split(' ').nth(1).unwrap();
@@ -233,10 +232,10 @@
             ),
             _ => (good("body"), true),
         };
-        let says = self.says.lock().unwrap().clone();
+        let headers = self.headers.lock().unwrap().clone();
         let text = match text.split_once("\r\n") {
             Some((first, rest)) if first.starts_with("HTTP/") => {
-                format!("{first}\r\n{says}{rest}")
+                format!("{first}\r\n{headers}{rest}")
             }
             _ => text,
         };
--- a/crates/daemon/tests/hosted/store.rs
+++ b/crates/daemon/tests/hosted/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store: rows, a feed, conditions, and its faults.
+//! Stand-in of the platform's store: rows, a change feed, conditional writes, and faults.
 
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
@@ -13,45 +13,46 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How the store treats calls.
+/// How the store responds to calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
-    /// As it should.
+pub enum Behavior {
+    /// Without faults.
     #[default]
-    Well,
-    /// Every call gets 503.
+    Normal,
+    /// Every call is answered with 503.
     Busy,
     /// Connections are closed without an answer.
     Reset,
-    /// Changes are made and not answered.
-    Lost,
-    /// Calls are taken and nothing comes back.
+    /// Writes are applied but not acknowledged.
+    LoseAcks,
+    /// Calls are accepted and not answered.
     Silent,
-    /// Every read is told that the history is gone.
-    Forgetful,
+    /// Every read is answered with 410: the history is lost.
+    HistoryLost,
 }
 
-/// Rows by table and key: the value, unless dropped, and the version.
+/// Rows by table and key: the value, `None` if removed, and the version.
 type Rows = BTreeMap<(String, String), (Option<String>, u64)>;
 
 #[derive(Default)]
 struct State {
     version: u64,
     rows: Rows,
-    /// How often the store came back from a copy.
+    /// Number of restores from the backup.
     era: u64,
-    /// What is told in its place, in turn.
+    /// Values reported instead of the era, in turn.
     eras: Vec<&'static str>,
-    /// The copy that it comes back from, with its version.
+    /// The backup, with its version.
     copy: (Rows, u64),
+    /// Version up to which the history is lost.
     forgotten: u64,
-    /// Whether waits that begin now hear nothing until their own end.
-    is_deaf: bool,
-    /// How often all open connections went silent for good.
-    silenced: u64,
-    /// Whether the last row of each page goes before the next page is read.
-    loses_last_rows: bool,
-    mood: Mood,
+    /// Whether new waits report no change until their own end.
+    ignores_waits: bool,
+    /// How often all open connections stopped delivering for good.
+    stalls: u64,
+    /// Whether the last row of each page is removed before the next page is read.
+    removes_last_rows: bool,
+    behavior: Behavior,
     calls: u64,
     waits: Vec<u64>,
 }
@@ -60,7 +61,7 @@
 #[derive(Clone)]
 pub struct Store {
     pub address: SocketAddr,
-    /// The time that passes for all, whichever machine is suspended.
+    /// The clock of the entry's machine, which a test may suspend.
     pub clock: Clock,
     began: Time,
     state: Arc<Mutex<State>>,
@@ -72,7 +73,7 @@
         let clock = Clock::start();
         let store = Store {
             address: listener.local_addr().unwrap(),
-            // It was there before.
+            // The store started before the entry.
             began: Time(clock.now().0 - 51_230_000),
             clock,
             state: Arc::default(),
@@ -86,33 +87,33 @@
         store
     }
 
-    pub fn set(&self, mood: Mood) {
-        self.state.lock().unwrap().mood = mood;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        self.state.lock().unwrap().behavior = behavior;
     }
 
     pub fn calls(&self) -> u64 {
         self.state.lock().unwrap().calls
     }
 
-    /// Returns how long changes of the operator's table were waited for, in
-    /// milliseconds, in the order of the calls.
+    /// Returns the requested wait times for changes of the operator's table, in milliseconds, in the
+    /// order of the calls.
     pub fn waits(&self) -> Vec<u64> {
         self.state.lock().unwrap().waits.clone()
     }
 
-    /// Tells these as its era, in turn; an empty text stands for none.
-    pub fn tell_eras(&self, eras: &[&'static str]) {
+    /// Reports these values as the era, in turn; an empty text omits the header.
+    pub fn report_eras(&self, eras: &[&'static str]) {
         self.state.lock().unwrap().eras = eras.to_vec();
     }
 
-    /// Takes a copy.
+    /// Takes a backup.
     pub fn copy(&self) {
         let mut state = self.state.lock().unwrap();
         state.copy = (state.rows.clone(), state.version);
     }
 
-    /// Comes back from the copy: what was written since is gone, its versions are given out
-    /// again, and the history up to the copy is forgotten.
+    /// Restores the backup: later writes are lost, their versions are issued again, and the history up
+    /// to the backup is lost.
     pub fn restore(&self) {
         let mut state = self.state.lock().unwrap();
         (state.rows, state.version) = state.copy.clone();
@@ -121,37 +122,37 @@
         state.era += 1;
     }
 
-    /// Forgets the history up to now.
-    pub fn forget(&self) {
+    /// Loses the history up to now.
+    pub fn lose_history(&self) {
         let mut state = self.state.lock().unwrap();
         state.forgotten = state.version;
     }
 
-    /// Forgets the history with a change that nobody has heard of; from now on, waits that
-    /// begin hear nothing until their own end.
-    pub fn forget_and_go_deaf(&self) {
+    /// Makes a change and loses the history that includes it; from now on, new waits report no change
+    /// until their own end.
+    pub fn lose_history_and_ignore_waits(&self) {
         let mut state = self.state.lock().unwrap();
         state.version += 1;
         let version = state.version;
         let row = (Some(STANDARD.encode("1")), version);
         state.rows.insert(("op".into(), "other".into()), row);
         state.forgotten = version;
-        state.is_deaf = true;
+        state.ignores_waits = true;
     }
 
-    /// Lets the last row of each page of a table go before the next page is read.
-    pub fn lose_last_rows(&self) {
-        self.state.lock().unwrap().loses_last_rows = true;
+    /// Removes the last row of each page of a table before the next page is read.
+    pub fn remove_last_rows(&self) {
+        self.state.lock().unwrap().removes_last_rows = true;
     }
 
-    /// Lets waits that begin from now on hear all changes.
-    pub fn hear_again(&self) {
-        self.state.lock().unwrap().is_deaf = false;
+    /// Makes new waits report changes again.
+    pub fn answer_waits(&self) {
+        self.state.lock().unwrap().ignores_waits = false;
     }
 
-    /// Lets all open connections go silent for good, without a reset; new ones work.
-    pub fn silence_connections(&self) {
-        self.state.lock().unwrap().silenced += 1;
+    /// Makes all open connections stop delivering for good, without a reset; new ones work.
+    pub fn stall_connections(&self) {
+        self.state.lock().unwrap().stalls += 1;
     }
 
     pub fn put(&self, table: &str, key: &str, value: &Value) {
@@ -163,7 +164,7 @@
         state.rows.insert((table.into(), key.into()), row);
     }
 
-    /// Writes what is no row of ours: `text` stands where the value ought to be in base64.
+    /// Writes a malformed row: `text` is stored in place of the base64 value.
     pub fn put_text(&self, table: &str, key: &str, text: &str) {
         let mut state = self.state.lock().unwrap();
         state.version += 1;
@@ -195,31 +196,31 @@
     }
 
     async fn serve(self, mut stream: TcpStream) {
-        let opened = self.state.lock().unwrap().silenced;
+        let opened = self.state.lock().unwrap().stalls;
         while let Some((line, body)) = read_call(&mut stream).await {
-            let mood = {
+            let behavior = {
                 let mut state = self.state.lock().unwrap();
                 state.calls += 1;
                 state.waits.extend(operator_wait(&line));
-                state.mood
+                state.behavior
             };
-            let (status, value) = match mood {
-                Mood::Reset => return,
-                Mood::Busy => (503, json!({})),
-                Mood::Forgetful if line.starts_with("GET") => (410, json!({})),
-                Mood::Silent => {
+            let (status, value) = match behavior {
+                Behavior::Reset => return,
+                Behavior::Busy => (503, json!({})),
+                Behavior::HistoryLost if line.starts_with("GET") => (410, json!({})),
+                Behavior::Silent => {
                     task::sleep(Duration::from_secs(60)).await;
                     return;
                 }
-                Mood::Lost if line.starts_with("POST") => {
+                Behavior::LoseAcks if line.starts_with("POST") => {
                     self.transact(&body);
-                    // Nothing more is said on this connection.
+                    // The connection stays open but delivers nothing more.
                     task::sleep(Duration::from_secs(60)).await;
                     return;
                 }
                 _ => self.answer(&line, &body).await,
             };
-            if self.state.lock().unwrap().silenced > opened {
+            if self.state.lock().unwrap().stalls > opened {
                 task::sleep(Duration::from_secs(60)).await;
                 return;
             }
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Returns the line in which the store tells its era.
+    /// Returns the header line with the era.
     fn era_header(&self) -> String {
         let mut state = self.state.lock().unwrap();
         let told = match state.eras.is_empty() {
@@ -291,12 +292,12 @@
         json!({"rows": rows, "more": false, "ver": state.version, "now_ms": self.now_ms()})
     }
 
-    /// Returns the time on the store's steady clock.
+    /// Returns the time on the store's monotonic clock.
     fn now_ms(&self) -> u64 {
         self.clock.now().since(self.began).millis()
     }
 
-    /// Returns a page of a table: the rows from a key on.
+    /// Returns a page of a table that starts at a key.
     fn page(&self, table: &str, from: &str, limit: &str) -> Value {
         let mut page = self.rows(table, 0, false);
         let rows = page["rows"].as_array_mut().unwrap();
@@ -306,7 +307,7 @@
         rows.truncate(limit);
         let last = rows.last().map(|row| row["key"].clone());
         page["more"] = json!(more);
-        if let (true, Some(last)) = (more && self.state.lock().unwrap().loses_last_rows, last) {
+        if let (true, Some(last)) = (more && self.state.lock().unwrap().removes_last_rows, last) {
             self.drop_row(table, last.as_str().unwrap());
         }
         page
@@ -314,7 +315,8 @@
 
     async fn feed(&self, table: &str, since: u64, wait: Duration) -> (u16, Value) {
         let began = Instant::now();
-        if self.state.lock().unwrap().is_deaf && since >= self.state.lock().unwrap().forgotten {
+        if self.state.lock().unwrap().ignores_waits && since >= self.state.lock().unwrap().forgotten
+        {
             task::sleep(wait).await;
         }
         loop {
@@ -363,7 +365,7 @@
     }
 }
 
-/// Returns how long a call waits for a change of the operator's table, if it does.
+/// Returns the wait time of a call that waits for changes of the operator's table.
 fn operator_wait(line: &str) -> Option<u64> {
     let (_, query) = line.split_once("/rows-feed?")?;
     let value = |name: &str| {
@@ -376,15 +378,14 @@
     value("wait-ms")?.1.parse().ok()
 }
 
-/// Reads the first line and the body of a call; `None` when the other side
-/// closes.
+/// Reads the first line and the body of a call; `None` if the peer closed the connection.
 pub async fn read_call(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let (head, body) = read_message(stream).await?;
     let line = head.lines().next()?.to_owned();
     Some((line, body))
 }
 
-/// Reads the head and the body of a message that has a length or no body.
+/// Reads the head and the body of a message; without a content length there is no body.
 pub async fn read_message(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let mut buf = Vec::new();
     let mut part = [0; 4096];
--- a/crates/daemon/tests/hosted/suspended.rs
+++ b/crates/daemon/tests/hosted/suspended.rs
@@ -1,57 +1,57 @@
-//! The machine of an entry is suspended for seconds: the steady clock stands still meanwhile.
+//! The machine of an entry is suspended for seconds, during which its monotonic clock stops.
 
 use super::*;
 use sorreldeck::Span;
 
-/// The time of a request passes while the machine is suspended: its caller is told so at once.
+/// The deadline of a request passes during the suspension: its caller gets a 504 at once.
 #[test]
-fn a_request_whose_time_passed_meanwhile_ends_at_once() {
+fn a_request_whose_deadline_passed_in_a_suspension_ends_at_once() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        let callers = stand.entry.callers;
+        let harness = Harness::start().await;
+        let callers = harness.entry.callers;
         let began = Instant::now();
         let call = task::spawn(async move { ask(callers, &request("/once/hang", "")).await });
         task::sleep(Duration::from_millis(300)).await;
-        stand.clock.suspend(Span::from_millis(30_000));
+        harness.clock.suspend(Span::from_millis(30_000));
         let answer = call.await;
         assert_eq!(status(&answer), 504, "{answer}");
-        // Its route allows 2 s.
+        // The timeout of the route is 2 s.
         assert!(began.elapsed() < Duration::from_millis(800));
     });
 }
 
-/// An upstream leaves in the first moment after a suspension of 5 s, in the last of which the
-/// history was forgotten: the wait that was under way would hear nothing for 20 s.
+/// An upstream leaves around a suspension of 5 s, before which the store lost its history: the wait
+/// in progress would report no change for 20 s.
 #[test]
-fn what_changed_meanwhile_is_asked_for_at_once() {
+fn changes_made_during_a_suspension_are_read_at_once() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        stand.store.forget_and_go_deaf();
+        let harness = Harness::start().await;
+        harness.store.lose_history_and_ignore_waits();
         task::sleep(Duration::from_millis(300)).await;
-        stand.store.hear_again();
-        stand.store.drop_row("servers", "i-1");
-        stand.clock.suspend(Span::from_millis(5_000));
+        harness.store.answer_waits();
+        harness.store.drop_row("servers", "i-1");
+        harness.clock.suspend(Span::from_millis(5_000));
         task::sleep(Duration::from_millis(100)).await;
         assert_eq!(
-            stand.reaching(0, 8).await,
+            harness.count_reaching(0, 8).await,
             0,
             "an upstream that left is asked"
         );
     });
 }
 
-/// Each row: for how long, and how often.
+/// Each row: the duration of a suspension in milliseconds, and the number of suspensions.
 #[test_case::test_case(100, 5)]
 #[test_case::test_case(1_500, 3)]
 #[test_case::test_case(30_000, 2)]
-fn it_serves_at_once_after_suspensions(ms: u64, times: usize) {
+fn requests_are_served_at_once_after_suspensions(ms: u64, times: usize) {
     task::block_on(async {
-        let stand = Stand::start().await;
+        let harness = Harness::start().await;
         for _ in 0..times {
-            stand.clock.suspend(Span::from_millis(ms));
+            harness.clock.suspend(Span::from_millis(ms));
             for path in ["/once/body", "/look/body"] {
                 let began = Instant::now();
-                assert_eq!(status(&stand.call(path).await), 200, "{path}");
+                assert_eq!(status(&harness.call(path).await), 200, "{path}");
                 assert!(
                     began.elapsed() < Duration::from_millis(300),
                     "{path} {:?}",
@@ -63,15 +63,15 @@
     });
 }
 
-/// Where nothing can be heard, what was known is gone by after a moment.
+/// If the store does not answer after a suspension, requests are served with the known tables.
 #[test]
-fn it_serves_after_a_suspension_though_the_store_is_away() {
+fn requests_are_served_after_a_suspension_during_an_outage_of_the_store() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        stand.store.set(Mood::Busy);
-        stand.clock.suspend(Span::from_millis(2_000));
+        let harness = Harness::start().await;
+        harness.store.set_behavior(Behavior::Busy);
+        harness.clock.suspend(Span::from_millis(2_000));
         for _ in 0..3 {
-            assert_eq!(status(&stand.call("/once/body").await), 200);
+            assert_eq!(status(&harness.call("/once/body").await), 200);
         }
     });
 }
--- a/crates/daemon/tests/hosted/words_of_upstreams.rs
+++ b/crates/daemon/tests/hosted/words_of_upstreams.rs
@@ -1,15 +1,15 @@
-//! What upstreams say of themselves in answers, over sockets: the stories are told by the tests
-//! of the decisions, `named_rate`, `leaving_in_answers` and `rest_asked_for`.
+//! Notices of upstreams in the headers of their answers, over sockets. The tests of the decisions,
+//! `named_rate`, `leaving_in_answers` and `rest_asked_for`, describe the cases.
 
 use super::*;
 use test_case::test_case;
 
-/// Makes calls until a runner has been asked.
-async fn until_asked(stand: &Stand, runner: usize, path: &str) {
-    let before = stand.runners[runner].seen().len();
-    eventually("the runner is asked", || async {
-        stand.call(path).await;
-        stand.runners[runner].seen().len() > before
+/// Makes calls until an upstream has got one.
+async fn until_asked(harness: &Harness, upstream: usize, path: &str) {
+    let before = harness.upstreams[upstream].seen().len();
+    eventually("the upstream gets a request", || async {
+        harness.call(path).await;
+        harness.upstreams[upstream].seen().len() > before
     })
     .await;
 }
@@ -19,107 +19,116 @@
 #[test_case("/once/full"; "a refusal")]
 #[test_case("/once/foreign"; "an answer to another request")]
 #[test_case("/once/unsigned"; "an answer without a receipt")]
-fn an_upstream_that_says_it_leaves_gets_nothing_new(path: &str) {
+fn an_upstream_that_announces_its_leaving_gets_no_new_requests(path: &str) {
     task::block_on(async {
-        let stand = Stand::start().await;
-        stand.runners[0].say("server-leaving: 1\r\n");
-        until_asked(&stand, 0, path).await;
-        // Longer than a failure passes it over.
+        let harness = Harness::start().await;
+        harness.upstreams[0].set_headers("server-leaving: 1\r\n");
+        until_asked(&harness, 0, path).await;
+        // Longer than an upstream is avoided after a failure.
         task::sleep(Duration::from_millis(1_200)).await;
-        assert_eq!(stand.reaching(0, 12).await, 0);
-        assert!(stand.reaching(1, 1).await > 0, "the other one serves on");
+        assert_eq!(harness.count_reaching(0, 12).await, 0);
+        assert!(
+            harness.count_reaching(1, 1).await > 0,
+            "the other one still gets requests"
+        );
     });
 }
 
 #[test]
-fn a_stream_that_says_so_is_given_whole() {
+fn a_stream_with_a_leaving_notice_is_delivered_completely() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        stand.runners[2].say("server-leaving: 1\r\n");
-        until_asked(&stand, 2, "/talk/stream").await;
-        let before = stand.runners[2].seen().len();
+        let harness = Harness::start().await;
+        harness.upstreams[2].set_headers("server-leaving: 1\r\n");
+        until_asked(&harness, 2, "/talk/stream").await;
+        let before = harness.upstreams[2].seen().len();
         for _ in 0..12 {
-            let answer = stand.call("/talk/stream").await;
+            let answer = harness.call("/talk/stream").await;
             assert!(answer.contains("id: 2\ndata: b"), "{answer}");
         }
-        assert_eq!(stand.runners[2].seen().len(), before);
+        assert_eq!(harness.upstreams[2].seen().len(), before);
     });
 }
 
 #[test]
-fn an_entry_is_told_by_another_that_an_upstream_leaves() {
+fn an_entry_learns_from_another_that_an_upstream_leaves() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        let other = start_entry(&stand.store, "front-2", &[]).await;
+        let harness = Harness::start().await;
+        let other = start_entry(&harness.store, "front-2", &[]).await;
         until_ready(&other).await;
         task::sleep(Duration::from_millis(1_500)).await;
-        stand.runners[0].say("server-leaving: 1\r\n");
-        until_asked(&stand, 0, "/once/body").await;
+        harness.upstreams[0].set_headers("server-leaving: 1\r\n");
+        until_asked(&harness, 0, "/once/body").await;
         task::sleep(Duration::from_millis(1_000)).await;
-        let before = stand.runners[0].seen().len();
+        let before = harness.upstreams[0].seen().len();
         for _ in 0..12 {
             let answer = ask(other.callers, &request("/once/body", "")).await;
             assert_eq!(status(&answer), 200, "{answer}");
         }
-        assert_eq!(stand.runners[0].seen().len(), before);
+        assert_eq!(harness.upstreams[0].seen().len(), before);
     });
 }
 
 #[test]
-fn an_upstream_that_names_a_rate_gets_no_more() {
+fn an_upstream_with_a_rate_limit_gets_no_more_requests() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        stand.runners[0].say("server-limit: 2\r\n");
-        until_asked(&stand, 0, "/once/body").await;
-        let before = stand.runners[0].seen().len();
+        let harness = Harness::start().await;
+        harness.upstreams[0].set_headers("server-limit: 2\r\n");
+        until_asked(&harness, 0, "/once/body").await;
+        let before = harness.upstreams[0].seen().len();
         let began = Instant::now();
         while began.elapsed() < Duration::from_secs(4) {
-            assert_eq!(status(&stand.call("/once/body").await), 200);
+            assert_eq!(status(&harness.call("/once/body").await), 200);
             task::sleep(Duration::from_millis(20)).await;
         }
-        let got = stand.runners[0].seen().len() - before;
-        // What it takes in 4 s, and what the pace may be ahead.
+        let got = harness.upstreams[0].seen().len() - before;
+        // 2/s over 4 s, and the burst that the limiter allows.
         assert!((4..=10).contains(&got), "{got} in 4 s");
-        stand.runners[0].say("");
-        until_asked(&stand, 0, "/once/body").await;
-        assert!(stand.reaching(0, 40).await > 5, "it gets its part again");
+        harness.upstreams[0].set_headers("");
+        until_asked(&harness, 0, "/once/body").await;
+        assert!(
+            harness.count_reaching(0, 40).await > 5,
+            "it gets its share again"
+        );
     });
 }
 
 #[test]
-fn an_upstream_that_asks_for_rest_gets_it() {
+fn the_retry_after_time_of_an_upstream_is_kept() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        stand.runners[0].say("retry-after: 2\r\n");
-        until_asked(&stand, 0, "/once/full").await;
+        let harness = Harness::start().await;
+        harness.upstreams[0].set_headers("retry-after: 2\r\n");
+        until_asked(&harness, 0, "/once/full").await;
         let rested = Instant::now();
-        // What turned it away is passed over for less than this.
+        // Longer than an upstream is avoided after a refusal alone.
         task::sleep(Duration::from_millis(1_000)).await;
         let mut got = 0;
         while rested.elapsed() < Duration::from_millis(1_800) {
-            got += stand.reaching(0, 1).await;
+            got += harness.count_reaching(0, 1).await;
         }
         assert_eq!(got, 0);
         task::sleep(Duration::from_millis(400)).await;
-        assert!(stand.reaching(0, 12).await > 0, "it is asked again");
+        assert!(
+            harness.count_reaching(0, 12).await > 0,
+            "it gets requests again"
+        );
     });
 }
 
 #[test]
-fn where_all_rest_callers_are_told_when_to_come_back() {
+fn callers_get_a_retry_after_if_all_upstreams_asked_for_one() {
     task::block_on(async {
-        let stand = Stand::start().await;
-        for runner in &stand.runners {
-            runner.say("retry-after: 3\r\n");
+        let harness = Harness::start().await;
+        for upstream in &harness.upstreams {
+            upstream.set_headers("retry-after: 3\r\n");
         }
-        // The first is turned away by both.
-        stand.call("/once/full").await;
+        // Both upstreams refuse the first call.
+        harness.call("/once/full").await;
         let began = Instant::now();
-        let answer = stand.call("/once/body").await;
+        let answer = harness.call("/once/body").await;
         assert_eq!(status(&answer), 503, "{answer}");
         assert!(began.elapsed() < Duration::from_millis(500));
         let after = store::header(&answer, "retry-after").and_then(|v| v.parse::<f64>().ok());
-        let after = after.expect("a time to come back");
+        let after = after.expect("a retry-after header");
         assert!((2.0..=3.0).contains(&after), "{answer}");
     });
 }
--- a/crates/daemon/tests/other_writers.rs
+++ b/crates/daemon/tests/other_writers.rs
@@ -1,7 +1,7 @@
-//! Whatever another writer puts into the platform's store, or says on a link: no panic, and no
-//! upstream is used that its row does not name.
+//! Arbitrary rows in the platform's store and arbitrary frames on a link cause no panic, and no
+//! upstream is used that its row does not describe.
 //!
-//! More cases by hand with `PROPTEST_CASES`; 10^6 take some minutes.
+//! `PROPTEST_CASES` sets the number of cases; 10^6 take some minutes.
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
@@ -14,13 +14,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What an upstream writes of itself.
+/// Returns the row value of an upstream.
 fn upstream() -> Value {
     json!({"service": "engines", "address": "127.0.0.1:9", "zone": "a", "version": "v1",
         "slots": 8, "state": "ready", "cold-left-ms": 0, "sequence": 1, "born": 1_764_726_566_123u64})
 }
 
-/// A value of any type, small and large.
+/// Generates a JSON value of any type, small or large.
 fn value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
@@ -35,7 +35,7 @@
     ]
 }
 
-/// An upstream's row with some of its fields gone or replaced, or any bytes.
+/// Generates the row of an upstream with some fields removed or replaced, or arbitrary bytes.
 fn row() -> impl Strategy<Value = Vec<u8>> {
     let fields: Vec<String> = upstream().as_object().unwrap().keys().cloned().collect();
     let change = (prop::sample::select(fields), prop::option::of(value()));
@@ -56,7 +56,7 @@
     prop_oneof![8 => cut, 1 => prop::collection::vec(any::<u8>(), 0..60)]
 }
 
-/// Returns whether a row names an upstream that may be used, told without our own decoder.
+/// Returns whether a row describes a usable upstream, without using the decoder under test.
 fn names_one(key: &str, bytes: &[u8]) -> bool {
     let Ok(Value::Object(row)) = serde_json::from_slice(bytes) else {
         return false;
@@ -140,7 +140,7 @@
             mirror.apply(table, page(vec![row], version), false, Time(1_000_000));
             prop_assert!(mirror.take_malformed().len() <= 2, "one line a row");
         }
-        // What these return was checked above; here it is that they do.
+        // The results were checked above; these calls must only not panic.
         let _ = (member::decode(&key, &bytes), config::decode(&bytes));
         let _ = (release::decode(&bytes, 1.into()), release::decode_state(&bytes), wire::decode(&bytes));
         let text = String::from_utf8_lossy(&bytes).into_owned();
--- a/crates/daemon/tests/regression/accepted_change_not_in_force.rs
+++ b/crates/daemon/tests/regression/accepted_change_not_in_force.rs
@@ -1,12 +1,12 @@
-//! An entry answered that a change was accepted before it was in force at that
-//! entry: an operator added by the change was unknown to the next call.
+//! Guards against a change that is accepted before the entry applies it: an operator added by the
+//! change was unknown to the next call.
 
 use crate::common::{admin, start};
 use serde_json::json;
 use sorreldeck::wire::Header;
 
 #[test]
-fn the_next_call_finds_an_accepted_change_in_force() {
+fn an_accepted_change_is_applied_before_the_next_call() {
     async_std::task::block_on(async {
         let sample = start("").await;
         for revision in 1..40 {
--- a/crates/daemon/tests/regression/main.rs
+++ b/crates/daemon/tests/regression/main.rs
@@ -1,4 +1,4 @@
-//! One file for each failure ever found in the daemon.
+//! Regression tests of the daemon: one file for each fault.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/daemon/tests/regression/retry_hid_the_first_failure.rs
+++ b/crates/daemon/tests/regression/retry_hid_the_first_failure.rs
@@ -1,11 +1,11 @@
-//! After every upstream had failed, the caller was told that there was no
-//! upstream, not why the upstreams had failed.
+//! Guards against a misleading error: after every upstream had failed, the caller got the error that
+//! there is no upstream instead of the failure of the upstreams.
 
 use crate::common::{ask, chat, json_of, start};
 use sorreldeck_emulator::engine::Knobs;
 
 #[test]
-fn the_caller_learns_why_the_upstreams_failed() {
+fn the_caller_gets_the_failure_of_the_upstreams() {
     async_std::task::block_on(async {
         let sample = start("").await;
         for engine in &sample.engines {
--- a/crates/daemon/tests/regression/slow_sender_held_its_connection.rs
+++ b/crates/daemon/tests/regression/slow_sender_held_its_connection.rs
@@ -1,5 +1,5 @@
-//! A caller that never sent the rest of its body got its refusal, but the
-//! server then waited for the rest without end and kept the connection.
+//! Guards against connections that stay open: a caller that never sent the rest of its body was
+//! refused, but the server then waited for the rest without a limit and kept the connection.
 
 use crate::common::start;
 use async_std::io::{ReadExt, WriteExt};
@@ -16,7 +16,7 @@
         );
         stream.write_all(head.as_bytes()).await.unwrap();
         let mut reply = String::new();
-        // Without the mend this read never ends.
+        // With the fault this read never ends.
         stream.read_to_string(&mut reply).await.unwrap();
         assert!(reply.starts_with("HTTP/1.1 408 "), "{reply}");
     });
--- a/crates/daemon/tests/relay/main.rs
+++ b/crates/daemon/tests/relay/main.rs
@@ -1,8 +1,10 @@
-//! Random schedules over entries that hand the store's tables to one another: kills,
-//! freezes, cuts, slow links, doubled messages, a store that refuses, is silent or forgets,
-//! waits that hear nothing, connections and links that are dead while new ones work.
+//! Replication of the store's tables between entries under random schedules of faults: entries that
+//! are killed or suspended, links that break, are slow or deliver twice, a store that refuses calls,
+//! does not answer or loses its history, waits that report no change, and connections and links
+//! that no longer deliver while new ones do.
 //!
-//! Simulated time, no socket. `SORRELDECK_CASES` sets the number of cases, `SORRELDECK_FIRST` the seed of the first.
+//! Time is simulated and no sockets are used.
+//! `SORRELDECK_CASES` sets the number of cases, `SORRELDECK_FIRST` the seed of the first.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -30,13 +32,13 @@
     number_in("SORRELDECK_CASES").unwrap_or(24)
 }
 
-/// The seed of the first schedule, so that several runs can share many.
+/// Returns the seed of the first schedule, so that several processes can split the seeds.
 fn first() -> u64 {
     number_in("SORRELDECK_FIRST").unwrap_or(0)
 }
 
-/// Plays a schedule; returns the steps of single entries.
-fn play(seed: u64) -> u64 {
+/// Runs one schedule; returns the number of steps times the number of entries.
+fn run_schedule(seed: u64) -> u64 {
     let mut dice = ChaCha8Rng::seed_from_u64(seed);
     let limit = LIMITS[seed as usize % LIMITS.len()];
     let (halls, entries) = (dice.random_range(1..=5), dice.random_range(2..=40));
@@ -66,17 +68,17 @@
 }
 
 #[test]
-fn whoever_reaches_the_store_knows_its_changes_in_time() {
+fn entries_learn_changes_of_the_store_within_the_bound() {
     let steps: u64 = (first()..first() + cases())
         .map(|seed| {
             println!("seed {seed}");
-            play(seed)
+            run_schedule(seed)
         })
         .sum();
     assert!(cases() < 24 || steps > 1_000_000, "{steps} steps");
 }
 
-/// Calls of the store in a minute without impairments, from the start on.
+/// Returns the number of calls of the store in the first minute, without faults.
 fn calls_of(halls: usize, entries: usize) -> u64 {
     let mut world = World::new(7, halls, entries);
     for step in 0..3_000 {
@@ -93,25 +95,26 @@
 fn calls_of_the_store_grow_with_data_halls_and_not_with_entries() {
     let few = calls_of(4, 16);
     let many = calls_of(4, 96);
-    // Each entry reads the list of entries once.
+    // Each entry reads the list of entries once at its start.
     assert!(many <= few + 96, "16 entries: {few}, 96: {many}");
     let small = calls_of(3, 3);
     assert!(small < 3 * 60, "three entries that all read: {small}");
     assert!(few < 4 * 75, "four halls: {few}");
 }
 
-/// A link that stays open from one end lets the other go on reading the store.
+/// Guards against additional readers: an entry goes on reading the store if a link of it stays
+/// open at one end only.
 #[test]
 fn one_entry_a_data_hall_reads_the_store() {
     for seed in 0..8 {
         let mut world = World::new(seed, 3, 32);
-        // Links take long to open while all entries start.
+        // Links open slowly while all entries start.
         world.slow_until = world.now + Span::from_millis(1_000);
         world.pass(1_000);
         let reads = |n: &&Node| n.reading == Subscription::All;
         assert_eq!(world.nodes.iter().filter(reads).count(), 3, "seed {seed}");
-        // Readers tell those of the two other data halls, one entry of each stands by with the
-        // tables from the reader, and the others have them from both.
+        // The readers of the three data halls follow each other. One standby in each hall gets the
+        // tables from the reader, the other entries get them from both.
         let hall = |name: &InstanceId| {
             let node = world.nodes.iter().find(|n| n.peer.name == *name);
             node.unwrap().peer.hall.clone()
@@ -133,8 +136,8 @@
     }
 }
 
-/// Plays a minute with a change each 0.2 s, from the start on; returns the bytes that went
-/// between data halls, and the most that one entry sent.
+/// Simulates the first minute with a change every 0.2 s; returns the bytes sent between data halls
+/// and the largest number of bytes that one entry sent.
 fn bytes_of(halls: usize, entries: usize) -> (u64, u64) {
     let mut world = World::new(11, halls, entries);
     world.put_upstreams();
@@ -153,16 +156,16 @@
     let few = bytes_of(3, 24);
     let many = bytes_of(3, 96);
     println!("24 entries: {few:?}, 96: {many:?}");
-    // Rows in which entries announce themselves go once into each data hall, too.
+    // The rows in which entries announce themselves are sent once to each data hall as well.
     assert!(
         many.0 <= few.0 + few.0 / 4,
         "24 entries: {few:?}, 96: {many:?}"
     );
 }
 
-/// A loss of all readers at once costs the others no call each.
+/// When all readers are lost at once, not every other entry may call the store.
 #[test]
-fn a_loss_of_all_readers_is_made_good_by_few_calls() {
+fn a_loss_of_all_readers_causes_few_calls() {
     let mut world = World::new(3, 4, 80);
     world.pass(500);
     let before = world.store.calls;
@@ -182,9 +185,9 @@
     assert!(calls < 100, "{calls} calls in 5 s");
 }
 
-/// When the store comes back, not all entries ask it at once.
+/// Neither during an outage nor after it do all entries call the store at once.
 #[test]
-fn an_outage_of_the_store_makes_few_calls() {
+fn an_outage_of_the_store_causes_few_calls() {
     let mut world = World::new(5, 4, 80);
     world.pass(500);
     let before = world.store.calls;
@@ -204,7 +207,7 @@
     world.pass(250);
     println!("whole tables: {:?}", world.whole);
     let (all, crossing) = world.whole;
-    // Each of those that do not read has them from one source.
+    // Each entry that does not read the store gets the whole tables from one source.
     assert!(all <= 93 + 9, "{all} whole tables");
     assert!(crossing <= 9, "{crossing} to another data hall");
     assert!(world
@@ -213,15 +216,15 @@
         .all(|n| n.uses.len() == UPSTREAMS as usize));
 }
 
-/// An entry that has its tables from two sources, with eight upstreams that it knows, and the
-/// links to the sources.
-fn taker() -> (Relay, Mirror, Vec<Link>) {
+/// Returns an entry that gets its tables from two sources and knows eight upstreams, with the links
+/// to the sources.
+fn receiver() -> (Relay, Mirror, Vec<Link>) {
     let names = ["e-0", "e-1", "e-2", "e-3"];
     let peer = |name: &&str| {
         let address = "127.0.0.1:1".parse().unwrap();
         Peer::new(name.parse().unwrap(), "h".parse().unwrap(), address)
     };
-    // Who ranks last reads nothing.
+    // Only the entry of the lowest rank reads nothing from the store; it is the one returned.
     for own in names.iter().map(peer) {
         let mut relay = Relay::new(own, Timeouts::of(LIMITS[2]));
         names.iter().map(peer).for_each(|p| relay.learn(p));
@@ -252,10 +255,10 @@
     }
 }
 
-/// Upstreams leave without a word meanwhile.
+/// Upstreams leave without a notice while the store refuses the entries that read it.
 #[test_case(1, 8; "one data hall")]
 #[test_case(4, 16; "four data halls")]
-fn entries_that_the_store_turns_away_do_not_make_others_keep_upstreams(halls: usize, all: usize) {
+fn entries_refused_by_the_store_do_not_make_others_keep_upstreams(halls: usize, all: usize) {
     let mut world = World::new(5, halls, all);
     world.put_upstreams();
     world.pass(250);
@@ -273,7 +276,7 @@
         node.impaired(until);
     }
     for left in 0..4 {
-        // The sources that are turned away say so, and others take their place.
+        // Sources that the store refuses report it, and other entries replace them.
         world.pass(30);
         let key = format!("i-{left}");
         world.store.put(Table::Upstreams, &key, None, world.now);
@@ -285,9 +288,9 @@
 }
 
 #[test]
-fn an_age_is_not_taken_over_without_the_changes_that_go_with_it() {
+fn an_age_is_accepted_only_with_the_changes_it_covers() {
     for (since, known) in [(6, false), (5, true)] {
-        let (mut relay, mut mirror, links) = taker();
+        let (mut relay, mut mirror, links) = receiver();
         let table = sorreldeck::wire::TableDelta {
             number: Table::Upstreams as usize,
             since: Some(since),
@@ -310,7 +313,7 @@
     }
 }
 
-fn stay(session: u64) -> Affinity {
+fn pin(session: u64) -> Affinity {
     Affinity {
         pool: "engines".parse().unwrap(),
         release: "v1".parse().unwrap(),
@@ -323,40 +326,44 @@
 #[test_case(1, 2; "two entries")]
 #[test_case(3, 3; "one entry a data hall")]
 #[test_case(4, 80; "many entries")]
-fn all_entries_are_told_of_a_session_that_stays(halls: usize, entries: usize) {
-    let world = each_tells(11, halls, entries, |relay, number, now| {
-        relay.share_affinity(stay(number), now);
+fn session_pins_reach_all_entries(halls: usize, entries: usize) {
+    let world = share_from_each(11, halls, entries, |relay, number, now| {
+        relay.share_affinity(pin(number), now);
     });
-    assert_all_are_told(&world, |node| node.stays.clone());
+    assert_all_received(&world, |node| node.stays.clone());
 }
 
-/// Plays entries that each tell something with their own number.
-fn each_tells(
+/// Returns a simulation in which each entry shared one item that carries the entry's number.
+fn share_from_each(
     seed: u64,
     halls: usize,
     entries: usize,
-    tell: impl Fn(&mut Relay, u64, Time),
+    share: impl Fn(&mut Relay, u64, Time),
 ) -> World {
     let mut world = World::new(seed, halls, entries);
     world.pass(250);
     let now = world.now;
     for (number, node) in world.nodes.iter_mut().enumerate() {
-        tell(&mut node.relay, number as u64, now);
+        share(&mut node.relay, number as u64, now);
     }
-    // A trial begins 1 s after its record; three links gather for 40 ms and a tick each.
+    // A trial begins 1 s after its record. An item passes up to three links, each of which batches
+    // for 40 ms and a tick.
     world.pass(15);
     world
 }
 
-/// Checks that each entry has heard what every other one told, a number of its own each.
-fn assert_all_are_told(world: &World, heard: impl Fn(&Node) -> BTreeSet<u64>) {
+/// Checks that each entry has received the number of every other entry.
+fn assert_all_received(world: &World, received: impl Fn(&Node) -> BTreeSet<u64>) {
     for (number, node) in world.nodes.iter().enumerate() {
-        let heard = heard(node);
-        let told = (0..world.nodes.len()).filter(|teller| *teller != number);
+        let received = received(node);
+        let told = (0..world.nodes.len()).filter(|sender| *sender != number);
         let missing: Vec<_> = told
-            .filter(|teller| !heard.contains(&(*teller as u64)))
+            .filter(|sender| !received.contains(&(*sender as u64)))
             .collect();
-        assert!(missing.is_empty(), "{number} was not told of {missing:?}");
+        assert!(
+            missing.is_empty(),
+            "entry {number} did not receive {missing:?}"
+        );
     }
 }
 
@@ -364,8 +371,8 @@
 #[test_case(1, 2; "two entries of one hall")]
 #[test_case(3, 3; "an entry in each of three halls")]
 #[test_case(4, 80; "eighty entries")]
-fn all_entries_are_told_of_requests_under_which_upstreams_crashed(halls: usize, entries: usize) {
-    let world = each_tells(13, halls, entries, |relay, number, now| {
+fn crash_reports_reach_all_entries(halls: usize, entries: usize) {
+    let world = share_from_each(13, halls, entries, |relay, number, now| {
         let word = quarantine::Update::Crashed {
             upstream: number,
             ago_ms: 0,
@@ -373,10 +380,10 @@
         };
         relay.share_quarantine(word, now);
     });
-    assert_all_are_told(&world, |node| {
+    assert_all_received(&world, |node| {
         node.words.iter().filter_map(crashed).collect()
     });
-    // What is gathered before it is told says so.
+    // The reports include the time for which they were batched.
     let waited = world.nodes.iter().flat_map(|node| &node.words);
     let longest = waited.map(|word| match word {
         quarantine::Update::Crashed { ago_ms, .. } => *ago_ms,
@@ -389,14 +396,14 @@
 #[test_case(1, 2; "two entries of one hall")]
 #[test_case(3, 3; "an entry in each of three halls")]
 #[test_case(4, 80; "eighty entries")]
-fn all_entries_are_told_of_what_upstreams_said_of_themselves(halls: usize, entries: usize) {
-    let world = each_tells(14, halls, entries, |relay, number, _| {
+fn notices_of_upstreams_reach_all_entries(halls: usize, entries: usize) {
+    let world = share_from_each(14, halls, entries, |relay, number, _| {
         relay.share_notice(notice::Update {
             upstream: number,
             change: notice::Change::Unlimited,
         });
     });
-    assert_all_are_told(&world, |node| {
+    assert_all_received(&world, |node| {
         let upstreams = node.notices.iter().map(|word| word.upstream);
         upstreams.collect()
     });
@@ -409,13 +416,13 @@
     }
 }
 
-/// Whoever starts midway is told as soon as it has its tables.
+/// An entry that starts later gets the session pins as soon as it has its tables.
 #[test]
-fn an_entry_that_starts_midway_is_told_of_sessions_that_stay() {
+fn an_entry_that_starts_later_gets_session_pins() {
     let mut world = World::new(12, 3, 30);
     world.pass(250);
     let now = world.now;
-    world.nodes[0].relay.share_affinity(stay(7), now);
+    world.nodes[0].relay.share_affinity(pin(7), now);
     world.pass(15);
     let mut readers = (2..30).filter(|n| world.nodes[*n].reading == Subscription::All);
     let reader = readers.next().unwrap();
@@ -428,9 +435,10 @@
     }
 }
 
-/// An instance with 0.09 of a core is to know 400 entries within a quarter of a second of its start.
+/// An instance with 0.09 of a core must learn 400 entries within 250 ms of its start, that is in
+/// 22.5 ms of CPU time.
 #[test]
-fn four_hundred_entries_are_learned_in_the_time_of_a_small_instance() {
+fn four_hundred_entries_are_learned_within_the_cpu_budget() {
     let peer = |i: usize| {
         let (name, hall) = (format!("front-{i}"), format!("h-{}", i % 3));
         let address = format!("127.0.0.1:{}", 1 + i).parse().unwrap();
--- a/crates/daemon/tests/restore_search.rs
+++ b/crates/daemon/tests/restore_search.rs
@@ -1,5 +1,6 @@
-//! Every order of a few events: one store that comes back from a copy once or twice, two entries that read
-//! it, hand its tables to one another or start anew, and writers that write again what was lost.
+//! Exhaustive search over the orders of a few events: a store that is restored from a backup once or
+//! twice, two entries that read it, send each other its tables or restart, and writers that write
+//! lost rows again.
 //!
 //! `SORRELDECK_DEPTH` sets the number of events.
 
@@ -15,40 +16,41 @@
 use test_case::test_case;
 
 const NOW: Time = Time(1_000_000_000);
-/// The tables that are written here; the others stay empty.
+/// The tables that contain rows; the others stay empty.
 const TABLES: [Table; 2] = [Table::Operator, Table::Upstreams];
 const LEAVING: &str = "i-0";
 const JOINING: &str = "i-1";
-const ORDER: &str = "evacuate/a";
-const MOST_LOSSES: usize = 2;
-const MOST_WRITES: usize = 4;
-const MOST_STARTS: usize = 1;
+const EVACUATION: &str = "evacuate/a";
+const MAX_LOSSES: usize = 2;
+const MAX_WRITES: usize = 4;
+const MAX_STARTS: usize = 1;
 
-/// The place of a row, and its value.
+/// Table and key of a row.
 type Place = (Table, &'static str);
+/// Version and value by table and key.
 type Rows = BTreeMap<Place, (u64, Vec<u8>)>;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
     /// The operator writes the next configuration.
     Configure,
-    /// An upstream says that it leaves.
+    /// An upstream announces that it leaves.
     Leave,
-    /// An upstream's row goes.
-    Go,
-    /// Another one joins.
+    /// The row of the leaving upstream is removed.
+    Remove,
+    /// Another upstream joins.
     Join,
-    /// The operator orders a data hall empty, or takes that back.
-    Order,
-    /// The store comes back from its copy.
-    Lose,
-    /// A writer writes again what was lost.
-    Again(Place),
+    /// The operator evacuates a data hall, or revokes the evacuation.
+    Evacuate,
+    /// The store is restored from its backup.
+    Restore,
+    /// A writer writes a lost row again.
+    Rewrite(Place),
     /// An entry reads a table.
     Read(usize, Table),
-    /// An entry hands a table to the other one.
-    Hand(usize, Table),
-    /// An entry starts anew.
+    /// An entry sends a table to the other one.
+    Send(usize, Table),
+    /// An entry restarts without state.
     Start(usize),
 }
 
@@ -57,19 +59,19 @@
     mirror: Mirror,
     revision: u64,
     uses: BTreeSet<String>,
-    /// Those that said in this life that they leave.
+    /// Upstreams that were retired since the entry started.
     left: BTreeSet<String>,
     evacuated: usize,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct State {
     era: u64,
     version: u64,
     rows: Rows,
-    /// Versions of dropped rows.
+    /// Versions of removed rows.
     gone: BTreeMap<Place, u64>,
-    /// What each writer wrote last; `None` where it dropped its row.
+    /// The last value written to each row; `None` if its writer removed it.
     wrote: BTreeMap<Place, Option<Vec<u8>>>,
     revision: u64,
     copy: (Rows, u64),
@@ -89,11 +91,11 @@
     }
 }
 
-impl World {
-    /// A store with a configuration and an upstream, which is also its copy, and two entries that
-    /// know them.
-    fn new() -> World {
-        let mut world = World {
+impl State {
+    /// Returns a store with a configuration and an upstream, a backup of the same state, and two
+    /// entries that have read it.
+    fn new() -> State {
+        let mut state = State {
             era: 1,
             version: 5,
             rows: Rows::new(),
@@ -106,22 +108,22 @@
             writes: 0,
             starts: 0,
         };
-        world.write((Table::Operator, "config"), Some(config(1)));
-        world.write((Table::Upstreams, LEAVING), Some(upstream("ready")));
-        world.copy = (world.rows.clone(), world.version);
+        state.write((Table::Operator, "config"), Some(config(1)));
+        state.write((Table::Upstreams, LEAVING), Some(upstream("ready")));
+        state.copy = (state.rows.clone(), state.version);
         for entry in 0..2 {
-            world.read_all(entry);
+            state.read_all(entry);
         }
-        world
+        state
     }
 
     fn write(&mut self, place: Place, value: Option<Value>) {
         let value = value.map(|value| value.to_string().into_bytes());
         self.wrote.insert(place, value);
-        self.write_again(place);
+        self.rewrite(place);
     }
 
-    fn write_again(&mut self, place: Place) {
+    fn rewrite(&mut self, place: Place) {
         self.version += 1;
         match self.wrote[&place].clone() {
             Some(value) => {
@@ -142,8 +144,8 @@
         lost.map(|(place, _)| *place).collect()
     }
 
-    fn has_ordered(&self) -> bool {
-        let order = self.wrote.get(&(Table::Operator, ORDER));
+    fn is_evacuated(&self) -> bool {
+        let order = self.wrote.get(&(Table::Operator, EVACUATION));
         order.is_some_and(Option::is_some)
     }
 
@@ -153,42 +155,42 @@
         Some(serde_json::from_slice::<Value>(value).unwrap()["state"].clone())
     }
 
-    /// Returns what may happen next.
+    /// Returns the events that are possible in this state.
     fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
-        if self.writes < MOST_WRITES {
-            events.extend([Event::Configure, Event::Order]);
+        if self.writes < MAX_WRITES {
+            events.extend([Event::Configure, Event::Evacuate]);
             match self.state(LEAVING) {
                 Some(state) if state == "ready" => events.push(Event::Leave),
-                Some(_) => events.push(Event::Go),
+                Some(_) => events.push(Event::Remove),
                 None => {}
             }
             if self.state(JOINING).is_none() {
                 events.push(Event::Join);
             }
         }
-        if self.losses < MOST_LOSSES && self.writes > 0 {
-            events.push(Event::Lose);
+        if self.losses < MAX_LOSSES && self.writes > 0 {
+            events.push(Event::Restore);
         }
-        events.extend(self.lost().into_iter().map(Event::Again));
+        events.extend(self.lost().into_iter().map(Event::Rewrite));
         for entry in 0..2 {
             for table in TABLES {
-                events.extend([Event::Read(entry, table), Event::Hand(entry, table)]);
+                events.extend([Event::Read(entry, table), Event::Send(entry, table)]);
             }
-            if self.starts < MOST_STARTS && self.losses > 0 {
+            if self.starts < MAX_STARTS && self.losses > 0 {
                 events.push(Event::Start(entry));
             }
         }
         events
     }
 
-    fn happen(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         let writes = [
             Event::Configure,
             Event::Leave,
-            Event::Go,
+            Event::Remove,
             Event::Join,
-            Event::Order,
+            Event::Evacuate,
         ];
         self.writes += usize::from(writes.contains(&event));
         match event {
@@ -197,21 +199,21 @@
                 self.write((Table::Operator, "config"), Some(config(self.revision)));
             }
             Event::Leave => self.write((Table::Upstreams, LEAVING), Some(upstream("draining"))),
-            Event::Go => self.write((Table::Upstreams, LEAVING), None),
+            Event::Remove => self.write((Table::Upstreams, LEAVING), None),
             Event::Join => self.write((Table::Upstreams, JOINING), Some(upstream("ready"))),
-            Event::Order => {
-                let value = (!self.has_ordered()).then(|| json!({}));
-                self.write((Table::Operator, ORDER), value);
+            Event::Evacuate => {
+                let value = (!self.is_evacuated()).then(|| json!({}));
+                self.write((Table::Operator, EVACUATION), value);
             }
-            Event::Lose => {
+            Event::Restore => {
                 self.losses += 1;
                 self.era += 1;
                 (self.rows, self.version) = self.copy.clone();
                 self.gone.clear();
             }
-            Event::Again(place) => self.write_again(place),
+            Event::Rewrite(place) => self.rewrite(place),
             Event::Read(entry, table) => self.read(entry, table),
-            Event::Hand(entry, table) => self.hand(entry, table),
+            Event::Send(entry, table) => self.send(entry, table),
             Event::Start(entry) => {
                 self.starts += 1;
                 self.entries[entry] = fresh();
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Lets an entry ask for what changed, or for the whole table where it cannot be told that.
+    /// Makes an entry read the changes of a table, or the whole table if it has no base for changes.
     fn read(&mut self, number: usize, table: Table) {
         let entry = &mut self.entries[number];
         let is_current = entry.mirror.era() == Era(self.era);
@@ -242,11 +244,11 @@
             .map(row);
         let dropped = self.gone.iter().filter(|(place, _)| place.0 == table);
         let dropped = dropped.map(|(place, version)| gone(place.1, *version));
-        let is_asked_for = |row: &Row| match since {
+        let is_requested = |row: &Row| match since {
             Some(since) => row.version > since,
             None => row.value.is_some(),
         };
-        let mut rows: Vec<Row> = rows.chain(dropped).filter(is_asked_for).collect();
+        let mut rows: Vec<Row> = rows.chain(dropped).filter(is_requested).collect();
         rows.sort_by_key(|row| row.version);
         let page = Page {
             rows,
@@ -255,39 +257,39 @@
             era: Some(Era(self.era)),
         };
         let whole = since.is_none();
-        let heard = entry.mirror.observe_era(table, &page, whole, NOW, NOW);
-        assert_ne!(heard, Freshness::Stale);
-        let news = entry.mirror.apply(table, page, whole, NOW);
-        entry.note(news);
+        let freshness = entry.mirror.observe_era(table, &page, whole, NOW, NOW);
+        assert_ne!(freshness, Freshness::Stale);
+        let updates = entry.mirror.apply(table, page, whole, NOW);
+        entry.record(updates);
     }
 
-    fn hand(&mut self, from: usize, table: Table) {
-        let taker = &self.entries[1 - from].mirror;
-        let have = Stamp::new(taker.era(), taker.base(table).unwrap_or(0));
+    fn send(&mut self, from: usize, table: Table) {
+        let receiver = &self.entries[1 - from].mirror;
+        let have = Stamp::new(receiver.era(), receiver.base(table).unwrap_or(0));
         if let Some(delta) = self.entries[from].mirror.delta(table, have) {
-            let taker = &mut self.entries[1 - from];
-            if let Merge::Applied(news) = taker.mirror.apply_delta(delta, NOW) {
-                taker.note(news);
+            let receiver = &mut self.entries[1 - from];
+            if let Merge::Applied(updates) = receiver.mirror.apply_delta(delta, NOW) {
+                receiver.record(updates);
             }
         }
     }
 
-    /// Lets all be written again and read; what entries know is then what the writers wrote.
-    fn settles(mut self) -> Result<(), String> {
+    /// Writes all lost rows again and reads them; checks that the entries then agree with the writers.
+    fn check_convergence(mut self) -> Result<(), String> {
         for place in self.lost() {
-            self.write_again(place);
+            self.rewrite(place);
         }
         for _ in 0..2 {
             for entry in 0..2 {
                 self.read_all(entry);
-                self.entries[entry].pass(Span::from_millis(60_000));
+                self.entries[entry].advance(Span::from_millis(60_000));
             }
         }
         let ready =
             |upstream: &&'static str| self.state(upstream).is_some_and(|state| state == "ready");
         let names = [LEAVING, JOINING].into_iter();
         let uses: BTreeSet<String> = names.filter(ready).map(str::to_owned).collect();
-        let expected = (self.revision, uses, usize::from(self.has_ordered()));
+        let expected = (self.revision, uses, usize::from(self.is_evacuated()));
         for entry in &self.entries {
             let known = (entry.revision, entry.uses.clone(), entry.evacuated);
             if known != expected {
@@ -299,10 +301,10 @@
 }
 
 impl Entry {
-    fn note(&mut self, news: Vec<Update>) {
-        for news in news {
-            match news {
-                // As an entry does: its configuration climbs.
+    fn record(&mut self, updates: Vec<Update>) {
+        for update in updates {
+            match update {
+                // As in an entry: the revision of the configuration only increases.
                 Update::Config(config) => {
                     self.revision = self.revision.max(config.tree.revision().0);
                 }
@@ -317,14 +319,14 @@
         }
     }
 
-    /// Lets time pass in which the store is heard.
-    fn pass(&mut self, span: Span) {
+    /// Advances the clock while the store answers.
+    fn advance(&mut self, span: Span) {
         let later = NOW + span;
-        let news = self.mirror.tick(later, Some(later));
-        self.note(news);
+        let updates = self.mirror.tick(later, Some(later));
+        self.record(updates);
     }
 
-    /// Returns what must never be, within one life.
+    /// Returns a violated invariant, if any; invariants apply between two starts of the entry.
     fn fault(&self) -> Option<String> {
         let row = self.mirror.row(Table::Operator, "config");
         let value: Option<Value> =
@@ -334,75 +336,77 @@
             .unwrap_or(0);
         if holds < self.revision {
             return Some(format!(
-                "configuration {holds} holds after {}",
+                "configuration {holds} is stored after {} was applied",
                 self.revision
             ));
         }
         let again = self.uses.intersection(&self.left).next();
-        // It never says that it is ready once it has said that it leaves.
+        // This upstream never reports that it is ready after it has announced that it leaves.
         let again = again.filter(|upstream| *upstream == LEAVING);
-        again.map(|upstream| format!("{upstream} works again"))
+        again.map(|upstream| format!("{upstream} is used again"))
     }
 }
 
-/// Returns a number that stands for all that a state holds.
-fn digest(world: &World) -> u64 {
+/// Returns a hash of the whole state.
+fn digest(state: &State) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
-    format!("{world:?}").hash(&mut hasher);
+    format!("{state:?}").hash(&mut hasher);
     hasher.finish()
 }
 
-/// The events before a loss of which the entries know unlike parts.
+/// Events before and at a loss, after which the two entries have read different changes.
 const LOST: [Event; 9] = [
-    Event::Order,
+    Event::Evacuate,
     Event::Read(0, Table::Operator),
     Event::Configure,
     Event::Leave,
     Event::Join,
     Event::Read(0, Table::Upstreams),
     Event::Read(1, Table::Operator),
-    Event::Lose,
+    Event::Restore,
     Event::Read(0, Table::Operator),
 ];
 
-/// Each row: what happened before.
+/// Each row: the events before the search.
 #[test_case(&[]; "from the start")]
 #[test_case(&LOST; "after a loss")]
-fn no_order_of_losses_writes_and_reads_takes_back_what_holds(before: &[Event]) {
+fn no_order_of_losses_writes_and_reads_reverts_the_applied_state(before: &[Event]) {
     let depth = std::env::var("SORRELDECK_DEPTH").ok();
     let depth = depth.and_then(|n| n.parse().ok()).unwrap_or(5);
     let mut seen = HashSet::new();
-    let mut first = World::new();
-    before.iter().for_each(|event| first.happen(*event));
-    let mut worlds = vec![(first, before.to_vec())];
+    let mut first = State::new();
+    before.iter().for_each(|event| first.apply_event(*event));
+    let mut states = vec![(first, before.to_vec())];
     let mut faults = Vec::new();
     for _ in 0..depth {
         let mut next = Vec::new();
-        for (world, path) in &worlds {
-            for event in world.events() {
-                let mut world = world.clone();
-                let before: Vec<u64> = world.entries.iter().map(|e| e.revision).collect();
-                world.happen(event);
-                if !seen.insert(digest(&world)) {
+        for (state, path) in &states {
+            for event in state.events() {
+                let mut state = state.clone();
+                let before: Vec<u64> = state.entries.iter().map(|e| e.revision).collect();
+                state.apply_event(event);
+                if !seen.insert(digest(&state)) {
                     continue;
                 }
                 let mut path: Vec<Event> = path.clone();
                 path.push(event);
                 let is_start = matches!(event, Event::Start(_));
-                let went_back = world.entries.iter().zip(before);
-                let went_back = went_back.filter(|(e, before)| e.revision < *before && !is_start);
-                let fault = world.entries.iter().find_map(Entry::fault);
-                let fault = fault.or(went_back.map(|_| "went back".to_owned()).next());
-                let fault = fault.or_else(|| world.clone().settles().err());
+                let reverted = state.entries.iter().zip(before);
+                let reverted = reverted.filter(|(e, before)| e.revision < *before && !is_start);
+                let fault = state.entries.iter().find_map(Entry::fault);
+                let fault = fault.or(reverted
+                    .map(|_| "the configuration was reverted".to_owned())
+                    .next());
+                let fault = fault.or_else(|| state.clone().check_convergence().err());
                 if let Some(fault) = fault {
                     faults.push(format!("{fault} after {path:?}"));
                     continue;
                 }
-                next.push((world, path));
+                next.push((state, path));
             }
         }
-        worlds = next;
+        states = next;
     }
     println!("{} states to a depth of {depth}", seen.len());
     faults.truncate(5);
--- a/crates/daemon/tests/serving.rs
+++ b/crates/daemon/tests/serving.rs
@@ -1,4 +1,4 @@
-//! What callers and operators can rely on, through real sockets.
+//! Guarantees for callers and operators, tested over real sockets.
 
 mod common;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_branch_goes_from_the_scripts_to_us_step_by_step() {
+fn a_branch_is_migrated_from_the_scripts_step_by_step() {
     task::block_on(async {
         let sample = start("").await;
         let scripts = Plain::new("old scripts", Duration::ZERO)
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn a_cascade_gives_one_whole_answer_and_bills_its_steps() {
+fn a_cascade_delivers_one_complete_answer_and_bills_its_steps() {
     task::block_on(async {
         let sample = start("").await;
         let mut asked = chat("thrifty", "which version");
         asked["stream"] = true.into();
         let reply = ask(&sample, &asked, &[]).await;
         assert_eq!(reply.status, 200, "{}", reply.text());
-        // Nothing is learned yet, so every request goes on to the dear version.
+        // The cascade has learned nothing yet, so every request is escalated to the expensive version.
         assert_eq!(reply.header(header::VERSION), Some("scribe-1"));
         let expected = text::answer("scribe-1", "which version", 6);
         assert!(reply.text().contains(&expected), "{}", reply.text());
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_plain_call_passes_through_whole() {
+fn a_plain_call_is_passed_through_unchanged() {
     task::block_on(async {
         let sample = start("").await;
         let reply = plain_call(&sample, "PUT", "/clock/shift?site=3", &[]).await;
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn with_the_store_down_a_keyed_call_is_refused_as_not_run_and_others_go_on() {
+fn without_the_store_keyed_calls_are_refused_as_not_run_and_others_served() {
     task::block_on(async {
         let sample = start("").await;
         sample.memory.set_faults(Faults {
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_claim_whose_answer_was_lost_still_runs_once() {
+fn a_claim_whose_acknowledgement_was_lost_still_runs_once() {
     task::block_on(async {
         let sample = start("").await;
         sample.memory.set_faults(Faults {
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_change_whose_answer_was_lost_is_settled() {
+fn a_change_whose_acknowledgement_was_lost_is_resolved() {
     task::block_on(async {
         let sample = start("").await;
         sample.memory.set_faults(Faults {
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_change_with_the_store_down_is_refused_and_loses_nothing() {
+fn a_change_during_an_outage_of_the_store_is_refused_and_loses_nothing() {
     task::block_on(async {
         let sample = start("").await;
         sample.memory.set_faults(Faults {
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_leaving_sidecar_gets_nothing_new_and_a_stop_cuts_nothing() {
+fn a_leaving_sidecar_gets_no_new_requests_and_a_stop_drains() {
     task::block_on(async {
         let sample = start("").await;
         let mut long = chat("scribe", "long");
