--- a/crates/daemon/src/hosted/event_loop.rs
+++ b/crates/daemon/src/hosted/event_loop.rs
@@ -908,7 +908,9 @@
             Output::Send(_, Frame::Cancel(run)) => drop(self.runs.remove(&run)),
             Output::Answer(request, part) => self.respond(request, part),
             Output::Prefill(number, time) => self.relay.share_prefill(number, time),
-            Output::SessionAffinity(affinity) => self.relay.share_affinity(affinity, self.clock.now()),
+            Output::SessionAffinity(affinity) => {
+                self.relay.share_affinity(affinity, self.clock.now())
+            }
             Output::QuarantineUpdate(update) => {
                 self.relay.share_quarantine(update, self.clock.now())
             }
