--- a/crates/daemon/tests/hosted/request_that_crashes_upstreams.rs
+++ b/crates/daemon/tests/hosted/request_that_crashes_upstreams.rs
@@ -80,7 +80,7 @@
         self.crashes.lock().unwrap().get(2).copied()
     }
 
-    /// Returns the times at which upstreams done calls with a path.
+    /// Returns the times at which upstreams got calls with a path.
     fn sends(&self, path: &str) -> Vec<Instant> {
         let upstreams = self.upstreams.lock().unwrap().clone();
         let seen = upstreams.iter().flat_map(Upstream::seen);
